--- a/benches/benches/placing.rs
+++ b/benches/benches/placing.rs
@@ -5,8 +5,8 @@
 use {
     criterion::{BenchmarkId, Criterion},
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Ended, Event, QuotaRules, RolloutRules, RunId, RunOutcome, SharedLimits,
-        Upstream, UpstreamPhase, Verdict, WorkSize,
+        Dispatcher, Event, QuotaRules, RolloutRules, RunId, RunOutcome, RunReport, SharedLimits,
+        SlotDecision, SlotRequest, Upstream, UpstreamPhase, WorkSize,
     },
     std::{
         collections::VecDeque,
@@ -55,8 +55,8 @@
     }
 }
 
-fn ask(run: RunId) -> Ask {
-    Ask {
+fn ask(run: RunId) -> SlotRequest {
+    SlotRequest {
         run,
         service: SERVICE.into(),
         route: "route".into(),
@@ -69,7 +69,7 @@
         size: WorkSize {
             prompt_tokens: 2_000,
             output_tokens: 120,
-            parts: Vec::new(),
+            segments: Vec::new(),
         },
         attempt: 0,
         avoid: Vec::new(),
@@ -98,14 +98,14 @@
         full.reduce(Event::UpstreamsChanged(entries));
         for _ in 0..upstreams * SLOTS as usize + waiting {
             full.next_run += 1;
-            full.reduce(Event::Asked(ask(full.next_run)));
+            full.reduce(Event::SlotRequested(ask(full.next_run)));
         }
         full
     }
 
     fn reduce(&mut self, event: Event) {
         for effect in self.owner.reduce(self.now, event) {
-            if matches!(effect.verdict, Verdict::Granted(_)) {
+            if matches!(effect.decision, SlotDecision::Granted(_)) {
                 self.running.push_back(effect.run);
             }
         }
@@ -115,7 +115,7 @@
     fn decide(&mut self) {
         self.now += STEP;
         let run = self.running.pop_front().expect("requests run");
-        self.reduce(Event::Ended(Ended {
+        self.reduce(Event::RunEnded(RunReport {
             run,
             service: SERVICE.into(),
             outcome: RunOutcome::Completed,
@@ -124,7 +124,7 @@
             events: 30,
         }));
         self.next_run += 1;
-        self.reduce(Event::Asked(ask(self.next_run)));
+        self.reduce(Event::SlotRequested(ask(self.next_run)));
     }
 }
 
--- a/crates/dragonflystep_dispatch/src/crash_suspects.rs
+++ b/crates/dragonflystep_dispatch/src/crash_suspects.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         ids::{MonotonicTime, RequestFingerprint},
-        limits::{CRASH_MEMORY, CRASHES_BEFORE_REFUSAL, MOST_CRASH_SUSPECTS},
+        limits::{CRASH_MEMORY, CRASHES_BEFORE_REFUSAL, MAX_CRASH_SUSPECTS},
     },
     std::collections::HashMap,
 };
@@ -19,8 +19,8 @@
 
 impl CrashSuspects {
     /// Counts a break.
-    pub(crate) fn broke(&mut self, now: MonotonicTime, request: RequestFingerprint) {
-        if self.breaks.len() >= MOST_CRASH_SUSPECTS {
+    pub(crate) fn record_crash(&mut self, now: MonotonicTime, request: RequestFingerprint) {
+        if self.breaks.len() >= MAX_CRASH_SUSPECTS {
             self.breaks
                 .retain(|_, (_, at)| now.saturating_sub(*at) < CRASH_MEMORY);
         }
@@ -30,7 +30,7 @@
     }
 
     /// Clears a request that was answered whole.
-    pub(crate) fn completed(&mut self, request: RequestFingerprint) {
+    pub(crate) fn record_completion(&mut self, request: RequestFingerprint) {
         self.breaks.remove(&request);
     }
 
--- a/crates/dragonflystep_dispatch/src/dispatcher.rs
+++ b/crates/dragonflystep_dispatch/src/dispatcher.rs
@@ -2,20 +2,23 @@
 
 use {
     crate::{
-        ask::{Ask, Ended, RefusalReason, RunOutcome, RunningRun, UpstreamLoad, Verdict},
         catalogue::Catalogue,
         crash_suspects::CrashSuspects,
-        ids::{MonotonicTime, NodeStart, RunId, ServiceName, UpstreamId},
+        ids::{MonotonicTime, NodeIncarnation, RunId, ServiceName, UpstreamId},
         limits::{OVERLAP_RATE_SHARE, OWNER_OVERLAP},
+        messages::{
+            ActiveRun, RefusalReason, RunOutcome, RunReport, SlotDecision, SlotRequest,
+            UpstreamLoad,
+        },
         notices::{UpstreamNotice, UpstreamNotices},
-        ownership::{Reach, member_share},
+        ownership::{Visibility, partition_limit_share},
         pool::{PoolSummary, ServicePool},
         quota::{QuotaRules, Quotas},
         refusal::refuse,
         retry_budget::RetryLimits,
         rollout::{RolloutOrder, RolloutPhase, RolloutRules, RolloutStep},
-        spending::SpendingReport,
         upstream::Upstream,
+        usage::UsageReport,
     },
     std::{
         collections::{HashMap, HashSet},
@@ -53,17 +56,17 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An entry asks for a place.
-    Asked(Ask),
+    SlotRequested(SlotRequest),
     /// An entry no longer waits for a place.
-    Withdrawn(ServiceName, RunId),
+    RequestWithdrawn(ServiceName, RunId),
     /// A run ended.
-    Ended(Ended),
+    RunEnded(RunReport),
     /// An entry reported a run that another owner granted.
-    Adopted(RunningRun),
+    RunAdopted(ActiveRun),
     /// An entry reported what accounts spent through it, before it asks this owner.
-    SpendingReported(SpendingReport),
+    UsageReported(UsageReport),
     /// The list of nodes changed; their number.
-    NodesListed(usize),
+    NodeCountChanged(usize),
     /// The limits for all nodes together changed.
     LimitsChanged(SharedLimits),
     /// A new version of the catalogue is in force.
@@ -71,13 +74,13 @@
     /// The registry of upstreams changed; all entries.
     UpstreamsChanged(Vec<Upstream>),
     /// How much of the system this node sees.
-    ReachChanged(Reach),
+    VisibilityChanged(Visibility),
     /// How many of the nodes have called this one lately, or answered its calls.
-    HeardChanged(Reach),
+    RecentContactsChanged(Visibility),
     /// An upstream said that requests wait there.
     LoadObserved(UpstreamLoad),
     /// An upstream said something of itself in an answer.
-    Noticed(UpstreamNotice),
+    NoticeReceived(UpstreamNotice),
     /// An operator orders that a service's requests move to another version, or the order is known better.
     RolloutOrdered(RolloutOrder),
     /// An order of a number was decided by another node, or earlier.
@@ -94,7 +97,7 @@
     /// The dispatch that was asked for.
     pub run: RunId,
     /// The verdict.
-    pub verdict: Verdict,
+    pub decision: SlotDecision,
 }
 
 /// The decisions of one owner, for all services that it owns.
@@ -156,19 +159,22 @@
     pub fn reduce(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Asked(ask) => self.asked(now, ask, &mut effects),
-            Event::Withdrawn(service, run) => self.withdrawn(&service, run),
-            Event::Ended(ended) => self.ended(now, &ended, &mut effects),
-            Event::Adopted(running) => {
-                let pool = self.pools.entry(running.ask.service.clone()).or_default();
-                pool.adopted(now, running);
+            Event::SlotRequested(request) => self.asked(now, request, &mut effects),
+            Event::RequestWithdrawn(service, run) => self.withdrawn(&service, run),
+            Event::RunEnded(ended) => self.ended(now, &ended, &mut effects),
+            Event::RunAdopted(running) => {
+                let pool = self
+                    .pools
+                    .entry(running.request.service.clone())
+                    .or_default();
+                pool.adopt_run(now, running);
                 let until = now + OWNER_OVERLAP;
                 if self.overlaps_until.replace(until).is_none() {
                     self.share_limits(now);
                 }
             }
-            Event::SpendingReported(report) => self.quotas.apply_report(now, report),
-            Event::NodesListed(nodes) => self.quotas.set_listed(now, nodes),
+            Event::UsageReported(report) => self.quotas.apply_report(now, report),
+            Event::NodeCountChanged(nodes) => self.quotas.set_node_count(now, nodes),
             Event::LimitsChanged(limits) => {
                 self.retry_limits = limits.retries();
                 self.quotas.set_rules(limits.quota);
@@ -179,23 +185,23 @@
                 self.set_upstreams(now, upstreams);
                 self.place_all(now, &mut effects);
             }
-            Event::ReachChanged(reach) => {
-                self.share = member_share(reach.visible, reach.known);
-                let places = (!reach.is_majority()).then(|| reach.fraction());
+            Event::VisibilityChanged(visibility) => {
+                self.share = partition_limit_share(visibility.visible, visibility.known);
+                let slots = (!visibility.is_majority()).then(|| visibility.fraction());
                 for pool in self.pools.values_mut() {
-                    pool.limit_places(places);
+                    pool.limit_slots(slots);
                 }
                 self.share_limits(now);
             }
-            Event::HeardChanged(heard) => {
-                self.quota_share = member_share(heard.visible, heard.known);
+            Event::RecentContactsChanged(heard) => {
+                self.quota_share = partition_limit_share(heard.visible, heard.known);
             }
             Event::LoadObserved(load) => {
                 if let Some(pool) = self.pools.get_mut(&load.service) {
                     pool.load_observed(now, &load);
                 }
             }
-            Event::Noticed(notice) => self.noticed(now, &notice, &mut effects),
+            Event::NoticeReceived(notice) => self.noticed(now, &notice, &mut effects),
             Event::RolloutOrdered(order) => {
                 let pool = self.pools.entry(order.service.clone()).or_default();
                 pool.order_rollout(now, order, self.rollout_rules);
@@ -242,13 +248,13 @@
     }
 
     /// Whether an upstream wants no requests of a node now.
-    pub fn is_resting_for(
+    pub fn wants_back_off_from(
         &self,
         now: MonotonicTime,
         upstream: &UpstreamId,
-        node: NodeStart,
+        node: NodeIncarnation,
     ) -> bool {
-        now < self.notices.rests_until(upstream, node)
+        now < self.notices.back_off_until(upstream, node)
     }
 
     /// Services that something is known of.
@@ -267,38 +273,42 @@
             .collect()
     }
 
-    fn asked(&mut self, now: MonotonicTime, ask: Ask, effects: &mut Vec<Effect>) {
-        if let Some(refusal) = self.refuse_by_limits(now, &ask) {
-            let pool = self.pools.entry(ask.service.clone()).or_default();
-            pool.note_refused_at_once(now, &ask);
+    fn asked(&mut self, now: MonotonicTime, request: SlotRequest, effects: &mut Vec<Effect>) {
+        if let Some(refusal) = self.refuse_by_limits(now, &request) {
+            let pool = self.pools.entry(request.service.clone()).or_default();
+            pool.note_refused_at_once(now, &request);
             effects.push(Effect {
-                run: ask.run,
-                verdict: Verdict::Refused(refusal),
+                run: request.run,
+                decision: SlotDecision::Refused(refusal),
             });
             return;
         }
-        let account = ask.account.clone();
-        let (run, units) = (ask.run, f64::from(ask.quota_units));
-        let pool = self.pools.entry(ask.service.clone()).or_default();
+        let account = request.account.clone();
+        let (run, units) = (request.run, f64::from(request.quota_units));
+        let pool = self.pools.entry(request.service.clone()).or_default();
         self.rollout_steps.extend(pool.advance_rollout(now));
-        pool.asked(now, ask, effects);
+        pool.enqueue(now, request, effects);
         // What does not run does not use up the quota.
         if let Some(account) = account
-            && effects
-                .iter()
-                .any(|effect| effect.run == run && matches!(effect.verdict, Verdict::Refused(_)))
+            && effects.iter().any(|effect| {
+                effect.run == run && matches!(effect.decision, SlotDecision::Refused(_))
+            })
         {
-            self.quotas.give_back(&account, units);
+            self.quotas.refund(&account, units);
         }
     }
 
-    fn refuse_by_limits(&mut self, now: MonotonicTime, ask: &Ask) -> Option<crate::Refusal> {
-        if self.suspects.is_refused(now, ask.fingerprint) {
+    fn refuse_by_limits(
+        &mut self,
+        now: MonotonicTime,
+        request: &SlotRequest,
+    ) -> Option<crate::Refusal> {
+        if self.suspects.is_refused(now, request.fingerprint) {
             return Some(refuse(RefusalReason::CrashSuspect, Duration::MAX));
         }
         let limits = self.retry_limits;
-        let pool = self.pools.entry(ask.service.clone()).or_default();
-        if ask.attempt == 0 {
+        let pool = self.pools.entry(request.service.clone()).or_default();
+        if request.attempt == 0 {
             pool.retries.count_request(now, limits);
         } else if !pool.retries.take_retry(now, limits, self.share) {
             return Some(refuse(
@@ -306,8 +316,8 @@
                 Duration::from_secs(1),
             ));
         }
-        let account = ask.account.as_ref()?;
-        let units = f64::from(ask.quota_units);
+        let account = request.account.as_ref()?;
+        let units = f64::from(request.quota_units);
         let share = self.share.min(self.quota_share);
         match self.quotas.take(now, account, units, share) {
             Ok(()) => None,
@@ -319,21 +329,21 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
-        if let Some(ask) = pool.withdrawn(run)
-            && let Some(account) = &ask.account
+        if let Some(request) = pool.withdraw(run)
+            && let Some(account) = &request.account
         {
-            self.quotas.give_back(account, f64::from(ask.quota_units));
+            self.quotas.refund(account, f64::from(request.quota_units));
         }
     }
 
-    fn ended(&mut self, now: MonotonicTime, ended: &Ended, effects: &mut Vec<Effect>) {
+    fn ended(&mut self, now: MonotonicTime, ended: &RunReport, effects: &mut Vec<Effect>) {
         let Some(pool) = self.pools.get_mut(&ended.service) else {
             return;
         };
-        if let Some(end) = pool.ended(now, ended) {
+        if let Some(end) = pool.finish_run(now, ended) {
             match ended.outcome {
-                RunOutcome::Broken => self.suspects.broke(now, end.fingerprint),
-                RunOutcome::Completed => self.suspects.completed(end.fingerprint),
+                RunOutcome::Broken => self.suspects.record_crash(now, end.fingerprint),
+                RunOutcome::Completed => self.suspects.record_completion(end.fingerprint),
                 RunOutcome::Failed
                 | RunOutcome::Rejected
                 | RunOutcome::Misdirected
@@ -342,10 +352,10 @@
                 | RunOutcome::Cancelled => {}
             }
             if !ended.outcome.has_run()
-                && let Some(account) = &end.ask.account
+                && let Some(account) = &end.request.account
             {
                 self.quotas
-                    .give_back(account, f64::from(end.ask.quota_units));
+                    .refund(account, f64::from(end.request.quota_units));
             }
         }
         pool.place_waiting(now, effects);
@@ -356,7 +366,7 @@
             return;
         }
         if let Some(pool) = self.pools.get_mut(&notice.service) {
-            pool.keep_to_notices(now, &self.notices);
+            pool.apply_notices(now, &self.notices);
             pool.place_waiting(now, effects);
         }
     }
@@ -403,7 +413,7 @@
         for (name, pool) in &mut self.pools {
             pool.set_upstreams(now, by_service.remove(name).unwrap_or_default());
             pool.set_limits_share(now, limits_share);
-            pool.keep_to_notices(now, &self.notices);
+            pool.apply_notices(now, &self.notices);
         }
         // Entries of the registry may name any service; what they leave behind must not pile up.
         self.pools.retain(|_, pool| !pool.is_unused());
--- a/crates/dragonflystep_dispatch/src/ids.rs
+++ b/crates/dragonflystep_dispatch/src/ids.rs
@@ -33,27 +33,27 @@
 pub type RunId = u64;
 
 /// Identifies a part of a prompt that several requests may share.
-pub type PartId = u64;
+pub type PromptSegmentId = u64;
 
 /// Digest of a request's account, path and content.
 pub type RequestFingerprint = u64;
 
 /// A start of a node, which each of its runs names.
-pub type NodeStart = u32;
+pub type NodeIncarnation = u32;
 
 /// The start of the node that began a run.
 ///
 /// # Examples
 /// ```
-/// use dragonflystep_dispatch::{node_start_of, run_id};
+/// use dragonflystep_dispatch::{node_incarnation_of, run_id};
 ///
-/// assert_eq!(node_start_of(run_id(7, 12)), 7);
+/// assert_eq!(node_incarnation_of(run_id(7, 12)), 7);
 /// ```
-pub fn node_start_of(run: RunId) -> NodeStart {
-    (run >> 32) as NodeStart
+pub fn node_incarnation_of(run: RunId) -> NodeIncarnation {
+    (run >> 32) as NodeIncarnation
 }
 
 /// The id of a run by its number at a start of a node.
-pub fn run_id(start: NodeStart, number: u32) -> RunId {
+pub fn run_id(start: NodeIncarnation, number: u32) -> RunId {
     (RunId::from(start) << 32) | RunId::from(number)
 }
--- a/crates/dragonflystep_dispatch/src/limits.rs
+++ b/crates/dragonflystep_dispatch/src/limits.rs
@@ -23,7 +23,7 @@
 pub(crate) const MEAN_WEIGHT: f64 = 0.15;
 
 /// Prompts shorter than this, in tokens, say little about the reading speed.
-pub(crate) const SMALLEST_MEASURED_PROMPT_TOKENS: f64 = 300.0;
+pub(crate) const MIN_MEASURED_PROMPT_TOKENS: f64 = 300.0;
 
 /// Prompt tokens that an engine reads in one step between two tokens of other requests; the usual
 /// default of engines with chunked prefill.
@@ -33,20 +33,20 @@
 pub(crate) const PAUSE_HEADROOM: f64 = 0.9;
 
 /// Failures in a row after which an upstream rests; two may be chance with one answer in seven failing.
-pub(crate) const FAILURES_BEFORE_REST: u32 = 4;
+pub(crate) const FAILURES_BEFORE_BACK_OFF: u32 = 4;
 
 /// Share of a service's upstreams that may rest for failed answers at one time. When all of them fail part
 /// of their answers, resting gains nothing and leaves no place for those who wait.
-pub(crate) const MOST_RESTING_SHARE: f64 = 0.34;
+pub(crate) const MAX_SUSPENDED_SHARE: f64 = 0.34;
 
 /// First rest of a failing upstream; a restart takes some seconds, a trial costs one request.
-pub(crate) const FIRST_REST: Duration = Duration::from_millis(500);
+pub(crate) const INITIAL_BACK_OFF: Duration = Duration::from_millis(500);
 
 /// Longest rest of a failing upstream.
-pub(crate) const LONGEST_REST: Duration = Duration::from_secs(4);
+pub(crate) const MAX_BACK_OFF: Duration = Duration::from_secs(4);
 
 /// Rest after an upstream said that it is full; about the time of one answer's end at five places.
-pub(crate) const FULL_REST: Duration = Duration::from_millis(60);
+pub(crate) const REJECTION_BACK_OFF: Duration = Duration::from_millis(60);
 
 /// Cost of an upstream that fails every request, in milliseconds of predicted time.
 pub(crate) const FAILURE_PENALTY_MS: f64 = 2_000.0;
@@ -63,22 +63,22 @@
 
 /// Longest time a request waits in a queue, as a share of the time its caller gives it; leaves the
 /// caller time for one more try elsewhere.
-pub(crate) const LONGEST_WAIT_SHARE: f64 = 0.5;
+pub(crate) const MAX_WAIT_SHARE: f64 = 0.5;
 
 /// The same for a request whose caller came back after a refusal.
-pub(crate) const LONGEST_RETURNED_WAIT_SHARE: f64 = 0.75;
+pub(crate) const MAX_RETURNED_WAIT_SHARE: f64 = 0.75;
 
 /// Shortest time to come back that a refusal tells.
-pub(crate) const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(200);
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Longest time to come back that a refusal tells; callers rarely wait longer.
-pub(crate) const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(5);
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Time over which arriving work of a tier is averaged, in seconds; shorter than the bursts it answers.
 pub(crate) const ARRIVAL_WINDOW_S: f64 = 1.5;
 
 /// Capacity that is always counted for a tier when its waiting time is estimated, as a share.
-pub(crate) const LEAST_CAPACITY_SHARE: f64 = 0.05;
+pub(crate) const MIN_CAPACITY_SHARE: f64 = 0.05;
 
 /// Times that a request may break the upstream which runs it before it is refused.
 pub(crate) const CRASHES_BEFORE_REFUSAL: u32 = 3;
@@ -87,10 +87,10 @@
 pub(crate) const CRASH_MEMORY: Duration = Duration::from_secs(120);
 
 /// Requests that broke an upstream which are remembered at most.
-pub(crate) const MOST_CRASH_SUSPECTS: usize = 4096;
+pub(crate) const MAX_CRASH_SUSPECTS: usize = 4096;
 
 /// Refused requests that are remembered at most, about a megabyte.
-pub(crate) const MOST_REFUSED_REMEMBERED: usize = 16_384;
+pub(crate) const MAX_REFUSED_REMEMBERED: usize = 16_384;
 
 /// Share of the permitted retries that one owner gives out; the rest covers a change of owners.
 pub(crate) const RETRY_BUDGET_USE: f64 = 0.7;
@@ -119,7 +119,7 @@
 pub(crate) const DEFAULT_CACHE_TOKENS: u64 = 400_000;
 
 /// Time after its predicted end at which a run of a lost report is no longer counted.
-pub(crate) const FORGOTTEN_RUN: Duration = Duration::from_secs(30);
+pub(crate) const LOST_RUN_GRACE: Duration = Duration::from_secs(30);
 
 /// Time that a request may wait beyond its objective, in objectives: predictions of a wait are off by
 /// about that much in a burst.
@@ -134,7 +134,7 @@
 
 /// Lowest rate at which an upstream gets requests that limits its rate, in requests a second of all nodes together; they show
 /// when the limit is over.
-pub(crate) const LEAST_TRIAL_RATE_PER_S: f64 = 0.1;
+pub(crate) const MIN_TRIAL_RATE_PER_S: f64 = 0.1;
 
 /// Time after an entry has brought runs of another owner during which that one may still give out places: twice the time in
 /// which all entries find out who the owner is.
@@ -150,7 +150,7 @@
 pub(crate) const MIN_REFUSED_NODES: usize = 2;
 
 /// Time after which the first request after a rest counts as accepted if its upstream has not refused it; several round trips.
-pub(crate) const REST_TRIAL: Duration = Duration::from_millis(250);
+pub(crate) const BACK_OFF_PROBE_TIME: Duration = Duration::from_millis(250);
 
 /// Time for which it is remembered what an upstream said of itself that is not listed any more, or that no longer holds.
 pub(crate) const NOTICE_MEMORY: Duration = Duration::from_secs(60);
@@ -167,7 +167,7 @@
 
 /// Waiting requests that are passed over in one look at the queue because no free upstream suits them;
 /// bounds the work of an owner with hundreds of requests waiting.
-pub(crate) const MOST_PASSED_OVER: usize = 24;
+pub(crate) const MAX_PASSED_OVER: usize = 24;
 
 /// Time for which the order of the queue stands; requests become late at this grain.
 pub(crate) const QUEUE_ORDER_AGE: Duration = Duration::from_millis(20);
@@ -186,14 +186,14 @@
 pub(crate) const ROLLOUT_SLACK_REQUESTS: f64 = 500.0;
 
 /// Largest share of a route's requests that are canaries.
-pub(crate) const ROLLOUT_MOST_ROUTE_SHARE: f64 = 0.3;
+pub(crate) const ROLLOUT_MAX_ROUTE_SHARE: f64 = 0.3;
 
 /// Upstreams of the new version that get canaries, if there are more: enough that a few slow ones among them do not look
 /// like a slow version, and few enough that each gets several.
 pub(crate) const ROLLOUT_CANARY_UPSTREAMS: usize = 24;
 
 /// Longest time for which all requests go to the new version before the order is completed.
-pub(crate) const ROLLOUT_LONGEST_SWITCH: Duration = Duration::from_millis(1_500);
+pub(crate) const ROLLOUT_MAX_SWITCH: Duration = Duration::from_millis(1_500);
 
 /// Time before the order's end in which the decision is written.
 pub(crate) const ROLLOUT_SETTLE_MARGIN: Duration = Duration::from_millis(300);
@@ -208,10 +208,10 @@
 pub(crate) const ROLLOUT_FALSE_ALARM: f64 = 2e-4;
 
 /// Factor of the durations below which a version is not slower.
-pub(crate) const ROLLOUT_SMALLEST_SLOWDOWN: f64 = 1.5;
+pub(crate) const ROLLOUT_MIN_SLOWDOWN: f64 = 1.5;
 
 /// Durations below which two versions are not told apart, in milliseconds: no caller notices the difference.
-pub(crate) const ROLLOUT_LEAST_COMPARED_MS: f64 = 5.0;
+pub(crate) const ROLLOUT_MIN_COMPARED_MS: f64 = 5.0;
 
 /// Standard deviations by which the durations have to differ, if they are known by the spread of single durations.
 pub(crate) const ROLLOUT_SLOWDOWN_DEVIATIONS: f64 = 4.5;
@@ -221,10 +221,10 @@
 pub(crate) const ROLLOUT_UPSTREAM_DEVIATIONS: f64 = 6.0;
 
 /// Answers of a version by which it can be judged.
-pub(crate) const ROLLOUT_LEAST_ANSWERS: f64 = 30.0;
+pub(crate) const ROLLOUT_MIN_ANSWERS: f64 = 30.0;
 
 /// The same on each route that has as many at the old version.
-pub(crate) const ROLLOUT_LEAST_ROUTE_ANSWERS: f64 = 8.0;
+pub(crate) const ROLLOUT_MIN_ROUTE_ANSWERS: f64 = 8.0;
 
 /// Time for which upstreams of a version get nothing that nobody has ordered yet: the order may be known a moment later
 /// than its upstreams.
--- a/crates/dragonflystep_dispatch/src/ask.rs
+++ b/crates/dragonflystep_dispatch/src/messages.rs
@@ -2,17 +2,17 @@
 
 use {
     crate::ids::{
-        AccountName, DataCentreName, MonotonicTime, PartId, RequestFingerprint, RouteName, RunId,
-        ServiceName, Tier, UpstreamId,
+        AccountName, DataCentreName, MonotonicTime, PromptSegmentId, RequestFingerprint, RouteName,
+        RunId, ServiceName, Tier, UpstreamId,
     },
     std::time::Duration,
 };
 
 /// A part of a prompt, in the order of the prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Identifies the part.
-    pub id: PartId,
+    pub id: PromptSegmentId,
     /// Its size.
     pub tokens: u32,
 }
@@ -25,12 +25,12 @@
     /// Output tokens that are expected.
     pub output_tokens: u32,
     /// Parts of the prompt that other requests may share.
-    pub parts: Vec<PromptPart>,
+    pub segments: Vec<PromptSegment>,
 }
 
 /// A request for a place at an upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct SlotRequest {
     /// The dispatch that the place is for.
     pub run: RunId,
     /// The service.
@@ -96,7 +96,7 @@
 
 /// The owner's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SlotDecision {
     /// A place is given.
     Granted(Grant),
     /// None is given.
@@ -170,7 +170,7 @@
 
 /// The end of a run, with what it tells of the upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct RunReport {
     /// The dispatch.
     pub run: RunId,
     /// Its service.
@@ -187,16 +187,16 @@
 
 /// A run that an entry tells a new owner of.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunningRun {
+pub struct ActiveRun {
     /// The ask that it came from.
-    pub ask: Ask,
+    pub request: SlotRequest,
     /// Where it runs.
     pub upstream: UpstreamId,
     /// How long it has been running.
     pub running_for: Duration,
 }
 
-impl RunningRun {
+impl ActiveRun {
     pub(crate) fn started_at(&self, now: MonotonicTime) -> MonotonicTime {
         now.saturating_sub(self.running_for)
     }
--- a/crates/dragonflystep_dispatch/src/notices.rs
+++ b/crates/dragonflystep_dispatch/src/notices.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        ids::{MonotonicTime, NodeStart, ServiceName, UpstreamId},
+        ids::{MonotonicTime, NodeIncarnation, ServiceName, UpstreamId},
         limits::{MAX_NOTICES_SHARED, NOTICE_MEMORY},
     },
     std::{collections::HashMap, time::Duration},
@@ -39,11 +39,11 @@
     /// It is about to leave and takes no new requests; this is never taken back.
     Leaving,
     /// It refused a request and wants none from that node for a while.
-    Resting {
+    BackOff {
         /// The start of the node that it refused.
-        node: NodeStart,
+        node: NodeIncarnation,
         /// How long, from when it was said.
-        lasts: Duration,
+        duration: Duration,
     },
 }
 
@@ -58,18 +58,18 @@
     service: ServiceName,
     rate: Option<StatedRate>,
     leaving_at: Option<MonotonicTime>,
-    rests: HashMap<NodeStart, Rest>,
+    back_offs: HashMap<NodeIncarnation, Rest>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Rest {
     at: MonotonicTime,
-    lasts: Duration,
+    duration: Duration,
 }
 
 impl Rest {
     fn until(self) -> MonotonicTime {
-        self.at.saturating_add(self.lasts)
+        self.at.saturating_add(self.duration)
     }
 }
 
@@ -91,7 +91,7 @@
                 service: notice.service.clone(),
                 rate: None,
                 leaving_at: None,
-                rests: HashMap::new(),
+                back_offs: HashMap::new(),
             });
         match notice.kind {
             NoticeKind::RateLimited { requests_per_s } => {
@@ -99,7 +99,9 @@
             }
             NoticeKind::RateUnlimited => known.apply_rate(at, None),
             NoticeKind::Leaving => known.leaving_at.replace(at).is_none(),
-            NoticeKind::Resting { node, lasts } => known.apply_rest(now, node, Rest { at, lasts }),
+            NoticeKind::BackOff { node, duration } => {
+                known.apply_rest(now, node, Rest { at, duration })
+            }
         }
     }
 
@@ -115,20 +117,24 @@
     }
 
     /// Until when an upstream wants no requests of which nodes.
-    pub(crate) fn rests(
+    pub(crate) fn back_offs(
         &self,
         upstream: &UpstreamId,
-    ) -> impl Iterator<Item = (NodeStart, MonotonicTime)> {
+    ) -> impl Iterator<Item = (NodeIncarnation, MonotonicTime)> {
         let known = self.upstreams.get(upstream).into_iter();
         known
-            .flat_map(|known| &known.rests)
+            .flat_map(|known| &known.back_offs)
             .map(|(node, rest)| (*node, rest.until()))
     }
 
     /// Until when an upstream wants no requests of a node.
-    pub(crate) fn rests_until(&self, upstream: &UpstreamId, node: NodeStart) -> MonotonicTime {
-        let mut rests = self.rests(upstream);
-        rests
+    pub(crate) fn back_off_until(
+        &self,
+        upstream: &UpstreamId,
+        node: NodeIncarnation,
+    ) -> MonotonicTime {
+        let mut back_offs = self.back_offs(upstream);
+        back_offs
             .find(|(resting, _)| *resting == node)
             .map_or(Duration::ZERO, |(_, until)| until)
     }
@@ -172,13 +178,13 @@
     }
 
     /// Applies a time of rest, unless a longer one is known; those that are over are forgotten.
-    fn apply_rest(&mut self, now: MonotonicTime, node: NodeStart, rest: Rest) -> bool {
-        self.rests.retain(|_, known| known.until() > now);
-        let known = self.rests.get(&node).map(|known| known.until());
+    fn apply_rest(&mut self, now: MonotonicTime, node: NodeIncarnation, rest: Rest) -> bool {
+        self.back_offs.retain(|_, known| known.until() > now);
+        let known = self.back_offs.get(&node).map(|known| known.until());
         if rest.until() <= known.unwrap_or(now) {
             return false;
         }
-        self.rests.insert(node, rest);
+        self.back_offs.insert(node, rest);
         true
     }
 
@@ -188,15 +194,15 @@
 
     /// Whether anything of it still binds.
     fn holds(&self, now: MonotonicTime) -> bool {
-        let mut rests = self.rests.values();
+        let mut back_offs = self.back_offs.values();
         self.rate_limit().is_some()
             || self.leaving_at.is_some()
-            || rests.any(|rest| rest.until() > now)
+            || back_offs.any(|rest| rest.until() > now)
     }
 
     fn last_at(&self) -> MonotonicTime {
         let rate_at = self.rate.as_ref().map(|rate| rate.at);
-        let rest_at = self.rests.values().map(|rest| rest.at).max();
+        let rest_at = self.back_offs.values().map(|rest| rest.at).max();
         let last = rate_at.max(self.leaving_at).max(rest_at);
         last.unwrap_or_default()
     }
@@ -217,11 +223,11 @@
             notice(kind, rate.at)
         });
         let leaving = self.leaving_at.map(|at| notice(NoticeKind::Leaving, at));
-        let rests = self.rests.iter().filter(|(_, rest)| rest.until() > now);
-        let rests = rests.map(|(node, rest)| {
-            let (node, lasts) = (*node, rest.lasts);
-            notice(NoticeKind::Resting { node, lasts }, rest.at)
+        let back_offs = self.back_offs.iter().filter(|(_, rest)| rest.until() > now);
+        let back_offs = back_offs.map(|(node, rest)| {
+            let (node, duration) = (*node, rest.duration);
+            notice(NoticeKind::BackOff { node, duration }, rest.at)
         });
-        rate.into_iter().chain(leaving).chain(rests).collect()
+        rate.into_iter().chain(leaving).chain(back_offs).collect()
     }
 }
--- a/crates/dragonflystep_dispatch/src/ownership.rs
+++ b/crates/dragonflystep_dispatch/src/ownership.rs
@@ -64,29 +64,29 @@
 ///
 /// # Examples
 /// ```
-/// use dragonflystep_dispatch::member_share;
+/// use dragonflystep_dispatch::partition_limit_share;
 ///
-/// assert_eq!(member_share(5, 8), 1.0);
-/// assert_eq!(member_share(1, 8), 0.03125);
+/// assert_eq!(partition_limit_share(5, 8), 1.0);
+/// assert_eq!(partition_limit_share(1, 8), 0.03125);
 /// ```
-pub fn member_share(visible: usize, known: usize) -> f64 {
-    let reach = Reach { visible, known };
-    if reach.is_majority() {
+pub fn partition_limit_share(visible: usize, known: usize) -> f64 {
+    let visibility = Visibility { visible, known };
+    if visibility.is_majority() {
         return 1.0;
     }
-    crate::limits::MINORITY_QUOTA_SHARE * reach.fraction()
+    crate::limits::MINORITY_QUOTA_SHARE * visibility.fraction()
 }
 
 /// How many of the system's nodes one sees, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct Visibility {
     /// Nodes that are seen.
     pub visible: usize,
     /// Nodes that are listed.
     pub known: usize,
 }
 
-impl Reach {
+impl Visibility {
     /// Whether most of the nodes are seen.
     pub fn is_majority(self) -> bool {
         self.visible * 2 > self.known
--- a/crates/dragonflystep_dispatch/src/pacer.rs
+++ b/crates/dragonflystep_dispatch/src/pacer.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     ids::MonotonicTime,
-    limits::{LEAST_TRIAL_RATE_PER_S, PACED_BURST_S},
+    limits::{MIN_TRIAL_RATE_PER_S, PACED_BURST_S},
 };
 
 /// Permits that accrue at a rate, of which each request takes one.
@@ -44,7 +44,7 @@
     ///
     /// Only an answer shows that a limit is over, so that it is never zero.
     pub(crate) fn requests_per_s(&self) -> f64 {
-        self.stated_per_s.max(LEAST_TRIAL_RATE_PER_S) * self.share
+        self.stated_per_s.max(MIN_TRIAL_RATE_PER_S) * self.share
     }
 
     pub(crate) fn has_permit(&self, now: MonotonicTime) -> bool {
--- a/crates/dragonflystep_dispatch/src/pool.rs
+++ b/crates/dragonflystep_dispatch/src/pool.rs
@@ -11,18 +11,18 @@
 use {
     self::placing::Choice,
     crate::{
-        ask::Ask,
         catalogue::Engine,
         dispatcher::Effect,
         ids::{MonotonicTime, RunId, Tier},
-        limits::{DEFAULT_CACHE_TOKENS, MOST_PASSED_OVER, UNORDERED_VERSION_HOLD},
+        limits::{DEFAULT_CACHE_TOKENS, MAX_PASSED_OVER, UNORDERED_VERSION_HOLD},
+        messages::SlotRequest,
         notices::UpstreamNotices,
-        queue::{WaitQueue, Waiting},
+        queue::{QueuedRequest, WaitQueue},
         refusal::{ArrivalRates, longest_wait},
         refused_requests::RefusedRequests,
         retry_budget::RetryBudget,
         rollout::{Rollout, RolloutRules},
-        speed::{RouteMeans, Speed},
+        speed::{RouteAverages, Speed},
         upstream::{LiveUpstream, Run, Upstream},
     },
     std::collections::{BTreeMap, HashMap, HashSet},
@@ -35,9 +35,9 @@
     engine: Option<Engine>,
     upstreams: Vec<LiveUpstream>,
     /// Runs at upstreams that left the registry; they still end.
-    orphans: HashMap<RunId, Run>,
+    unlisted_runs: HashMap<RunId, Run>,
     queue: WaitQueue,
-    means: RouteMeans,
+    averages: RouteAverages,
     arrivals: ArrivalRates,
     refused: RefusedRequests,
     granted: u64,
@@ -82,7 +82,7 @@
                     let is_unordered = !versions.is_empty() && !versions.contains(&entry.version);
                     let mut upstream = LiveUpstream::new(entry, joint, cache_tokens);
                     if is_unordered && self.rollout.is_none() {
-                        upstream.hold(now + UNORDERED_VERSION_HOLD);
+                        upstream.extend_back_off(now + UNORDERED_VERSION_HOLD);
                     }
                     upstream
                 }
@@ -90,16 +90,16 @@
             self.upstreams.push(upstream);
         }
         for (_, gone) in before {
-            self.orphans.extend(gone.runs);
+            self.unlisted_runs.extend(gone.runs);
         }
         self.forget_replaced_rollout();
     }
 
     /// Keeps to what upstreams said of themselves, whatever the registry says.
-    pub(crate) fn keep_to_notices(&mut self, now: MonotonicTime, notices: &UpstreamNotices) {
+    pub(crate) fn apply_notices(&mut self, now: MonotonicTime, notices: &UpstreamNotices) {
         let share = self.limits_share.unwrap_or(1.0);
         for upstream in &mut self.upstreams {
-            upstream.keep_to_notices(now, notices, share);
+            upstream.apply_notices(now, notices, share);
         }
     }
 
@@ -115,44 +115,49 @@
     pub(crate) fn is_unused(&self) -> bool {
         self.engine.is_none()
             && self.upstreams.is_empty()
-            && self.orphans.is_empty()
+            && self.unlisted_runs.is_empty()
             && self.queue.is_empty()
             && self.retries.is_empty()
             && self.rollout.is_none()
     }
 
     /// Places a new request, lets it wait or refuses it.
-    pub(crate) fn asked(&mut self, now: MonotonicTime, mut ask: Ask, effects: &mut Vec<Effect>) {
-        let earlier = self.refused.first_asked_at(now, ask.fingerprint);
-        let first_asked_at = earlier.unwrap_or(now);
+    pub(crate) fn enqueue(
+        &mut self,
+        now: MonotonicTime,
+        mut request: SlotRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        let earlier = self.refused.first_requested_at(now, request.fingerprint);
+        let first_requested_at = earlier.unwrap_or(now);
         let has_returned = earlier.is_some();
-        let spent_before = now.saturating_sub(first_asked_at);
-        ask.objective_left = ask.objective_left.saturating_sub(spent_before);
-        let is_canary = self.note_for_rollout(&ask);
+        let spent_before = now.saturating_sub(first_requested_at);
+        request.objective_left = request.objective_left.saturating_sub(spent_before);
+        let is_canary = self.note_for_rollout(&request);
         let joint = self.joint_speed();
-        let (first, run_ms) = self.joint_durations(&ask, joint);
-        let longest = longest_wait(&ask, has_returned, first);
-        let tier = ask.tier;
-        let is_late = ask.objective_left < first;
+        let (time_to_first_event, run_ms) = self.joint_durations(&request, joint);
+        let max_wait = longest_wait(&request, has_returned, time_to_first_event);
+        let tier = request.tier;
+        let is_late = request.objective_left < time_to_first_event;
         let wait = self.estimate_wait(now, tier, is_late, run_ms);
-        self.arrivals.arrived(now, ask.tier, run_ms);
-        let run = ask.run;
+        self.arrivals.record_arrival(now, request.tier, run_ms);
+        let run = request.run;
         self.queue.push(
             now,
-            Waiting {
-                objective_at: now + ask.objective_left,
-                hold_until: now + longest,
+            QueuedRequest {
+                objective_at: now + request.objective_left,
+                expires_at: now + max_wait,
                 run_ms,
-                first,
-                first_asked_at,
+                time_to_first_event,
+                first_requested_at,
                 has_returned,
                 is_canary,
-                ask,
+                request,
             },
         );
         self.place_waiting(now, effects);
         let is_placed = effects.iter().any(|effect| effect.run == run);
-        if !is_placed && wait > longest && !self.serves_below(now, tier) {
+        if !is_placed && wait > max_wait && !self.serves_below(now, tier) {
             self.refuse_waiting(now, run, wait, effects);
         }
     }
@@ -168,7 +173,7 @@
         }
         self.queue.sort(now);
         let (mut index, mut passed_over) = (0, 0);
-        while index < self.queue.len() && passed_over < MOST_PASSED_OVER {
+        while index < self.queue.len() && passed_over < MAX_PASSED_OVER {
             match self.choose_for(now, self.queue.get(index), &room) {
                 choice @ (Choice::Place(upstream, prediction)
                 | Choice::PlaceCanary(upstream, prediction)) => {
@@ -176,7 +181,7 @@
                         self.upstreams[upstream].canaries += 1;
                     }
                     let waiting = self.queue.take(index);
-                    effects.push(self.grant(now, waiting.ask, upstream, prediction));
+                    effects.push(self.grant(now, waiting.request, upstream, prediction));
                     room = self.room(now);
                     if room.free.is_empty() && room.canary.is_empty() {
                         return;
@@ -191,7 +196,7 @@
     }
 
     /// Takes a request out of the queue whose caller left.
-    pub(crate) fn withdrawn(&mut self, run: RunId) -> Option<Ask> {
-        self.queue.remove(run).map(|waiting| waiting.ask)
+    pub(crate) fn withdraw(&mut self, run: RunId) -> Option<SlotRequest> {
+        self.queue.remove(run).map(|waiting| waiting.request)
     }
 }
--- a/crates/dragonflystep_dispatch/src/pool/placing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/placing.rs
@@ -3,12 +3,12 @@
 use {
     super::ServicePool,
     crate::{
-        ask::{Ask, Grant, Verdict},
         dispatcher::Effect,
         ids::MonotonicTime,
         limits::CLEARLY_FASTER,
+        messages::{Grant, SlotDecision, SlotRequest},
         placement::{Prediction, ServiceModel, choose},
-        queue::Waiting,
+        queue::QueuedRequest,
         upstream::{LiveUpstream, Run},
     },
 };
@@ -24,7 +24,7 @@
 }
 
 /// Where places may be given out.
-pub(super) struct Room {
+pub(super) struct FreeUpstreams {
     /// Upstreams with a free place.
     pub(super) free: Vec<usize>,
     /// Upstreams of a new version with a free place, for canaries only.
@@ -35,13 +35,13 @@
 
 impl ServicePool {
     /// Limits the places that are given out to a share of all, or takes the limit away.
-    pub(crate) fn limit_places(&mut self, share: Option<f64>) {
+    pub(crate) fn limit_slots(&mut self, share: Option<f64>) {
         self.places_share = share;
     }
 
     /// Where places may be given out now.
-    pub(super) fn room(&self, now: MonotonicTime) -> Room {
-        let mut room = Room {
+    pub(super) fn room(&self, now: MonotonicTime) -> FreeUpstreams {
+        let mut room = FreeUpstreams {
             free: Vec::new(),
             canary: self.canary_room(now),
             fastest_full: None,
@@ -54,10 +54,10 @@
             }
         }
         for (index, upstream) in self.upstreams.iter().enumerate() {
-            if !self.takes_main(upstream) {
+            if !self.takes_main_traffic(upstream) {
                 continue;
             }
-            if upstream.has_room(now) {
+            if upstream.has_free_slot(now) {
                 room.free.push(index);
             } else if upstream.is_usable(now) && upstream.has_permit(now) {
                 let speed = upstream.speed.prefill_ms_per_token;
@@ -70,7 +70,7 @@
             // would refuse every request of its service.
             let upstreams = self.upstreams.iter().enumerate();
             let in_need = upstreams.filter(|(_, upstream)| {
-                self.takes_main(upstream) && upstream.has_room_in_need(now)
+                self.takes_main_traffic(upstream) && upstream.has_fallback_slot(now)
             });
             room.free.extend(in_need.map(|(index, _)| index));
         }
@@ -79,19 +79,24 @@
 
     pub(super) fn model(&self) -> ServiceModel<'_> {
         ServiceModel {
-            means: &self.means,
+            averages: &self.averages,
             tokens_per_event: self.engine.map_or(1, |engine| engine.tokens_per_event),
             spreads: self.places_share.is_some(),
         }
     }
 
-    pub(super) fn choose_for(&self, now: MonotonicTime, waiting: &Waiting, room: &Room) -> Choice {
+    pub(super) fn choose_for(
+        &self,
+        now: MonotonicTime,
+        waiting: &QueuedRequest,
+        room: &FreeUpstreams,
+    ) -> Choice {
         let objective_left = waiting.objective_left(now);
         if waiting.is_canary && !room.canary.is_empty() {
-            let (ask, canary) = (&waiting.ask, &room.canary);
+            let (request, canary) = (&waiting.request, &room.canary);
             let found = choose(
                 now,
-                ask,
+                request,
                 objective_left,
                 &self.upstreams,
                 canary,
@@ -103,7 +108,7 @@
         }
         let found = choose(
             now,
-            &waiting.ask,
+            &waiting.request,
             objective_left,
             &self.upstreams,
             &room.free,
@@ -120,7 +125,7 @@
     }
 
     /// Whether some busy upstream is clearly faster than the one at `index`.
-    fn has_better(&self, room: &Room, index: usize) -> bool {
+    fn has_better(&self, room: &FreeUpstreams, index: usize) -> bool {
         let chosen = self.upstreams[index].speed.prefill_ms_per_token;
         room.fastest_full
             .is_some_and(|fastest| fastest < chosen * CLEARLY_FASTER)
@@ -129,7 +134,7 @@
     pub(super) fn grant(
         &mut self,
         now: MonotonicTime,
-        ask: Ask,
+        request: SlotRequest,
         index: usize,
         prediction: Prediction,
     ) -> Effect {
@@ -138,33 +143,33 @@
             upstream: entry.id.clone(),
             address: entry.address.clone(),
         };
-        let run = ask.run;
+        let run = request.run;
         self.granted += 1;
-        self.granted_at.insert(ask.tier, now);
+        self.granted_at.insert(request.tier, now);
         self.upstreams[index].note_sent(now);
-        self.start_run(now, ask, index, prediction);
+        self.start_run(now, request, index, prediction);
         Effect {
             run,
-            verdict: Verdict::Granted(grant),
+            decision: SlotDecision::Granted(grant),
         }
     }
 
     pub(super) fn start_run(
         &mut self,
         at: MonotonicTime,
-        ask: Ask,
+        request: SlotRequest,
         index: usize,
         prediction: Prediction,
     ) {
         let upstream = &mut self.upstreams[index];
-        upstream.cached.read(at, &ask.size.parts);
+        upstream.prefix_cache.read(at, &request.size.segments);
         let run = Run {
-            tokens_before_first: prediction.tokens_before_first,
-            first_expected_at: prediction.first_at,
+            prefill_backlog_tokens: prediction.prefill_backlog_tokens,
+            first_event_expected_at: prediction.first_event_at,
             end_expected_at: prediction.end_at,
             is_overdue: false,
-            ask,
+            request,
         };
-        upstream.runs.insert(run.ask.run, run);
+        upstream.runs.insert(run.request.run, run);
     }
 }
--- a/crates/dragonflystep_dispatch/src/pool/refusing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/refusing.rs
@@ -3,10 +3,10 @@
 use {
     super::ServicePool,
     crate::{
-        ask::{Ask, RefusalReason, Verdict},
         dispatcher::Effect,
         ids::{MonotonicTime, RunId, Tier},
         limits::{FIRST_EVENT_BASE_MS, SERVED_BELOW_MEMORY},
+        messages::{RefusalReason, SlotDecision, SlotRequest},
         refusal::{predicted_wait, refuse},
         speed::Speed,
         upstream::UpstreamPhase,
@@ -26,24 +26,24 @@
     pub(crate) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         for waiting in self.queue.take_expired(now) {
             self.refused
-                .refused(now, &waiting.ask, waiting.first_asked_at);
-            let wait = self.estimate_wait(now, waiting.ask.tier, true, waiting.run_ms);
+                .record(now, &waiting.request, waiting.first_requested_at);
+            let wait = self.estimate_wait(now, waiting.request.tier, true, waiting.run_ms);
             effects.push(Effect {
-                run: waiting.ask.run,
-                verdict: Verdict::Refused(refuse(self.reason_to_refuse(), wait)),
+                run: waiting.request.run,
+                decision: SlotDecision::Refused(refuse(self.reason_to_refuse(), wait)),
             });
         }
         for upstream in &mut self.upstreams {
             upstream.forget_old_runs(now);
         }
-        self.orphans
-            .retain(|_, run| now < run.end_expected_at + run.ask.time_left);
+        self.unlisted_runs
+            .retain(|_, run| now < run.end_expected_at + run.request.time_left);
     }
 
     /// Remembers a request that is refused before it came to wait.
-    pub(crate) fn note_refused_at_once(&mut self, now: MonotonicTime, ask: &Ask) {
-        let first = self.refused.first_asked_at(now, ask.fingerprint);
-        self.refused.refused(now, ask, first.unwrap_or(now));
+    pub(crate) fn note_refused_at_once(&mut self, now: MonotonicTime, request: &SlotRequest) {
+        let first = self.refused.first_requested_at(now, request.fingerprint);
+        self.refused.record(now, request, first.unwrap_or(now));
     }
 
     pub(super) fn refuse_waiting(
@@ -56,10 +56,10 @@
         let reason = self.reason_to_refuse();
         if let Some(waiting) = self.queue.remove(run) {
             self.refused
-                .refused(now, &waiting.ask, waiting.first_asked_at);
+                .record(now, &waiting.request, waiting.first_requested_at);
             effects.push(Effect {
-                run: waiting.ask.run,
-                verdict: Verdict::Refused(refuse(reason, wait)),
+                run: waiting.request.run,
+                decision: SlotDecision::Refused(refuse(reason, wait)),
             });
         }
     }
@@ -68,7 +68,7 @@
         let is_there_one = self
             .upstreams
             .iter()
-            .any(|one| one.entry.phase == UpstreamPhase::Ready && self.takes_main(one));
+            .any(|one| one.entry.phase == UpstreamPhase::Ready && self.takes_main_traffic(one));
         if is_there_one {
             RefusalReason::Overloaded
         } else {
@@ -83,41 +83,44 @@
         is_late: bool,
         own_run_ms: f64,
     ) -> Duration {
-        let places: f64 = self
+        let slots: f64 = self
             .upstreams
             .iter()
-            .filter(|one| one.is_usable(now) && self.takes_main(one))
-            .map(|one| one.effective_places(own_run_ms))
+            .filter(|one| one.is_usable(now) && self.takes_main_traffic(one))
+            .map(|one| one.effective_slots(own_run_ms))
             .sum();
-        if places == 0.0 {
+        if slots == 0.0 {
             return self.shortest_rest(now);
         }
         // The next place comes free after a fraction of a run.
         let work_ms = self.queue.work_ahead_ms(now, tier, is_late) + own_run_ms;
-        let above = self.arrivals.places_above(now, tier);
-        predicted_wait(work_ms, places, above)
+        let above = self.arrivals.slots_above(now, tier);
+        predicted_wait(work_ms, slots, above)
     }
 
     /// Time until the first upstream has rested as long as it wanted.
     fn shortest_rest(&self, now: MonotonicTime) -> Duration {
-        let main = self.upstreams.iter().filter(|one| self.takes_main(one));
+        let main = self
+            .upstreams
+            .iter()
+            .filter(|one| self.takes_main_traffic(one));
         let ready = main.filter(|one| one.entry.phase == UpstreamPhase::Ready);
-        let over_at = ready.map(|one| one.wanted_rest.until()).min();
+        let over_at = ready.map(|one| one.requested_back_off.until()).min();
         over_at.unwrap_or_default().saturating_sub(now)
     }
 
     /// Time to the first event, and milliseconds of the whole run, at an upstream of the joint speed without other work.
-    pub(super) fn joint_durations(&self, ask: &Ask, joint: Speed) -> (Duration, f64) {
-        let Some(_) = ask.longest_pause else {
-            let ms = self.means.plain_ms(&ask.route);
+    pub(super) fn joint_durations(&self, request: &SlotRequest, joint: Speed) -> (Duration, f64) {
+        let Some(_) = request.longest_pause else {
+            let ms = self.averages.plain_ms(&request.route);
             return (Duration::from_secs_f64(ms / 1e3), ms);
         };
         let model = self.model();
-        let read_ms = f64::from(ask.size.prompt_tokens) * joint.prefill_ms_per_token;
+        let read_ms = f64::from(request.size.prompt_tokens) * joint.prefill_ms_per_token;
         let first_ms = FIRST_EVENT_BASE_MS + read_ms;
         let events = model
-            .means
-            .events(&ask.route, &ask.size, model.tokens_per_event);
+            .averages
+            .events(&request.route, &request.size, model.tokens_per_event);
         let run_ms = first_ms + events * joint.ms_per_event;
         (Duration::from_secs_f64(first_ms / 1e3), run_ms)
     }
--- a/crates/dragonflystep_dispatch/src/pool/rolling.rs
+++ b/crates/dragonflystep_dispatch/src/pool/rolling.rs
@@ -3,9 +3,9 @@
 use {
     super::ServicePool,
     crate::{
-        ask::{Ask, Ended},
         ids::MonotonicTime,
         limits::{FIRST_EVENT_BASE_MS, OVERDUE_AFTER, ROLLOUT_CANARY_UPSTREAMS},
+        messages::{RunReport, SlotRequest},
         rollout::{
             Rollout, RolloutInputs, RolloutOrder, RolloutPhase, RolloutRules, RolloutStep,
             overdue_sample, sample_of,
@@ -99,7 +99,7 @@
                 if now > run.end_expected_at + OVERDUE_AFTER {
                     run.is_overdue = true;
                     let sample = overdue_sample();
-                    rollout.observe(&entry.version, &entry.id, &run.ask.route, sample);
+                    rollout.observe(&entry.version, &entry.id, &run.request.route, sample);
                 }
             }
         }
@@ -111,9 +111,9 @@
     }
 
     /// Whether requests that are no canaries may go to an upstream.
-    pub(super) fn takes_main(&self, upstream: &LiveUpstream) -> bool {
+    pub(super) fn takes_main_traffic(&self, upstream: &LiveUpstream) -> bool {
         let rollout = self.rollout.as_ref();
-        rollout.is_none_or(|rollout| rollout.takes_main(&upstream.entry.version))
+        rollout.is_none_or(|rollout| rollout.takes_main_traffic(&upstream.entry.version))
     }
 
     /// Forgets a roll-out that was completed once its version is gone: what came after it came without an order.
@@ -129,12 +129,12 @@
     }
 
     /// Counts a request; says whether it is to be a canary.
-    pub(super) fn note_for_rollout(&mut self, ask: &Ask) -> bool {
+    pub(super) fn note_for_rollout(&mut self, request: &SlotRequest) -> bool {
         // Who sees no majority decides nothing, and a request that failed before is not put at risk again.
-        let may_be = ask.attempt == 0 && self.places_share.is_none();
+        let may_be = request.attempt == 0 && self.places_share.is_none();
         let rules = self.rollout_rules;
         let rollout = self.rollout.as_mut();
-        rollout.is_some_and(|rollout| rollout.asked(&ask.route, rules, may_be))
+        rollout.is_some_and(|rollout| rollout.admit_canary(&request.route, rules, may_be))
     }
 
     /// Upstreams of the new version that have room for canaries.
@@ -148,7 +148,7 @@
             .filter(|(_, one)| one.entry.phase == UpstreamPhase::Ready)
             .take(ROLLOUT_CANARY_UPSTREAMS);
         let free: Vec<_> = tried
-            .filter(|(_, one)| one.has_room(now))
+            .filter(|(_, one)| one.has_free_slot(now))
             .map(|(index, one)| (index, one.canary_turn()))
             .collect();
         let first = free.iter().map(|(_, turn)| *turn).min();
@@ -158,37 +158,40 @@
 
     /// The speed of the upstreams to which requests go that are no canaries.
     pub(super) fn joint_speed(&self) -> Speed {
-        let main = self.upstreams.iter().filter(|one| self.takes_main(one));
+        let main = self
+            .upstreams
+            .iter()
+            .filter(|one| self.takes_main_traffic(one));
         Speed::joint(main.map(|one| &one.speed))
     }
 
     /// Adds what a run showed of its version.
-    pub(super) fn observe_for_rollout(&mut self, index: usize, run: &Run, ended: &Ended) {
+    pub(super) fn observe_for_rollout(&mut self, index: usize, run: &Run, ended: &RunReport) {
         if run.is_overdue || !self.rollout.as_ref().is_some_and(Rollout::is_undecided) {
             return;
         }
-        let expected_ms = self.expected_ms(&run.ask, ended);
+        let expected_ms = self.expected_ms(&run.request, ended);
         let took_ms = ended.to_end.as_secs_f64() * 1e3;
         let Some(sample) = sample_of(ended.outcome, took_ms, expected_ms) else {
             return;
         };
         let entry = &self.upstreams[index].entry;
         if let Some(rollout) = &mut self.rollout {
-            rollout.observe(&entry.version, &entry.id, &run.ask.route, sample);
+            rollout.observe(&entry.version, &entry.id, &run.request.route, sample);
         }
     }
 
     /// Milliseconds that a run with so many events takes at an upstream of the old version with nothing else to do.
-    fn expected_ms(&self, ask: &Ask, ended: &Ended) -> f64 {
-        if ask.longest_pause.is_none() {
-            return self.means.plain_ms(&ask.route);
+    fn expected_ms(&self, request: &SlotRequest, ended: &RunReport) -> f64 {
+        if request.longest_pause.is_none() {
+            return self.averages.plain_ms(&request.route);
         }
         let old = self
             .upstreams
             .iter()
             .filter(|one| !self.is_of_new_version(one));
         let speed = Speed::joint(old.map(|one| &one.speed));
-        let read_ms = f64::from(ask.size.prompt_tokens) * speed.prefill_ms_per_token;
+        let read_ms = f64::from(request.size.prompt_tokens) * speed.prefill_ms_per_token;
         FIRST_EVENT_BASE_MS + read_ms + f64::from(ended.events) * speed.ms_per_event
     }
 }
--- a/crates/dragonflystep_dispatch/src/cached_parts.rs
+++ b/crates/dragonflystep_dispatch/src/prefix_cache.rs
@@ -2,18 +2,18 @@
 
 use {
     crate::{
-        ask::PromptPart,
-        ids::{MonotonicTime, PartId},
+        ids::{MonotonicTime, PromptSegmentId},
+        messages::PromptSegment,
     },
     std::collections::HashMap,
 };
 
 /// Parts that an upstream has read, the least recently used one yielding first.
 #[derive(Debug)]
-pub(crate) struct CachedParts {
+pub(crate) struct PrefixCache {
     capacity_tokens: u64,
     held_tokens: u64,
-    parts: HashMap<PartId, HeldPart>,
+    segments: HashMap<PromptSegmentId, HeldPart>,
 }
 
 #[derive(Debug)]
@@ -22,33 +22,33 @@
     used_at: MonotonicTime,
 }
 
-impl CachedParts {
+impl PrefixCache {
     pub(crate) fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
             held_tokens: 0,
-            parts: HashMap::new(),
+            segments: HashMap::new(),
         }
     }
 
     /// Tokens at the beginning of a prompt that need not be read again.
-    pub(crate) fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
-        parts
+    pub(crate) fn cached_tokens(&self, segments: &[PromptSegment]) -> u32 {
+        segments
             .iter()
-            .take_while(|part| self.parts.contains_key(&part.id))
+            .take_while(|part| self.segments.contains_key(&part.id))
             .map(|part| part.tokens)
             .sum()
     }
 
     /// Notes that a prompt is read.
-    pub(crate) fn read(&mut self, now: MonotonicTime, parts: &[PromptPart]) {
-        for part in parts {
+    pub(crate) fn read(&mut self, now: MonotonicTime, segments: &[PromptSegment]) {
+        for part in segments {
             let held = HeldPart {
                 tokens: part.tokens,
                 used_at: now,
             };
             self.held_tokens += u64::from(part.tokens);
-            if let Some(before) = self.parts.insert(part.id, held) {
+            if let Some(before) = self.segments.insert(part.id, held) {
                 self.held_tokens -= u64::from(before.tokens);
             }
         }
@@ -59,8 +59,8 @@
 
     /// Drops the oldest tenth, so that eviction is rare.
     fn evict(&mut self) {
-        let mut by_age: Vec<(MonotonicTime, PartId)> = self
-            .parts
+        let mut by_age: Vec<(MonotonicTime, PromptSegmentId)> = self
+            .segments
             .iter()
             .map(|(id, part)| (part.used_at, *id))
             .collect();
@@ -69,7 +69,7 @@
             if self.held_tokens * 10 <= self.capacity_tokens * 9 {
                 return;
             }
-            if let Some(part) = self.parts.remove(&id) {
+            if let Some(part) = self.segments.remove(&id) {
                 self.held_tokens -= u64::from(part.tokens);
             }
         }
--- a/crates/dragonflystep_dispatch/src/queue.rs
+++ b/crates/dragonflystep_dispatch/src/queue.rs
@@ -6,19 +6,19 @@
 
 use {
     crate::{
-        ask::Ask,
         ids::{MonotonicTime, RunId, Tier},
         limits::QUEUE_ORDER_AGE,
+        messages::SlotRequest,
     },
     std::time::Duration,
 };
 
 /// A waiting request.
 #[derive(Debug)]
-pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+pub(crate) struct QueuedRequest {
+    pub(crate) request: SlotRequest,
     /// When it was asked for first.
-    pub(crate) first_asked_at: MonotonicTime,
+    pub(crate) first_requested_at: MonotonicTime,
     /// Whether it was refused before.
     pub(crate) has_returned: bool,
     /// Whether it shows how a new version of its service does.
@@ -26,17 +26,17 @@
     /// When it is late.
     pub(crate) objective_at: MonotonicTime,
     /// When it is refused at the latest.
-    pub(crate) hold_until: MonotonicTime,
+    pub(crate) expires_at: MonotonicTime,
     /// Predicted time at an upstream of mean speed.
     pub(crate) run_ms: f64,
     /// Predicted time to the first event at an upstream of mean speed with nothing else to read.
-    pub(crate) first: Duration,
+    pub(crate) time_to_first_event: Duration,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Whether it would be late even if a place came free now.
     pub(crate) fn is_late(&self, now: MonotonicTime) -> bool {
-        now + self.first > self.objective_at
+        now + self.time_to_first_event > self.objective_at
     }
 
     /// What is left until it is late.
@@ -48,20 +48,20 @@
 /// Requests that wait.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedRequest>,
     sorted_at: MonotonicTime,
 }
 
 /// What the order of the queue goes by.
-fn place_key(one: &Waiting, now: MonotonicTime) -> (Tier, bool, bool, MonotonicTime) {
+fn place_key(one: &QueuedRequest, now: MonotonicTime) -> (Tier, bool, bool, MonotonicTime) {
     let is_late = one.is_late(now);
     let is_first_try = is_late && !one.has_returned;
-    (one.ask.tier, is_late, is_first_try, one.objective_at)
+    (one.request.tier, is_late, is_first_try, one.objective_at)
 }
 
 impl WaitQueue {
     /// Adds a request at its place in the order.
-    pub(crate) fn push(&mut self, now: MonotonicTime, waiting: Waiting) {
+    pub(crate) fn push(&mut self, now: MonotonicTime, waiting: QueuedRequest) {
         let key = place_key(&waiting, now);
         let index = self
             .waiting
@@ -77,26 +77,26 @@
         self.waiting.len()
     }
 
-    pub(crate) fn get(&self, index: usize) -> &Waiting {
+    pub(crate) fn get(&self, index: usize) -> &QueuedRequest {
         &self.waiting[index]
     }
 
     /// Takes one out; the order of the others stays.
-    pub(crate) fn take(&mut self, index: usize) -> Waiting {
+    pub(crate) fn take(&mut self, index: usize) -> QueuedRequest {
         self.waiting.remove(index)
     }
 
-    pub(crate) fn remove(&mut self, run: RunId) -> Option<Waiting> {
-        let index = self.waiting.iter().position(|one| one.ask.run == run)?;
+    pub(crate) fn remove(&mut self, run: RunId) -> Option<QueuedRequest> {
+        let index = self.waiting.iter().position(|one| one.request.run == run)?;
         Some(self.waiting.remove(index))
     }
 
     /// Takes out all that have waited as long as they may.
-    pub(crate) fn take_expired(&mut self, now: MonotonicTime) -> Vec<Waiting> {
+    pub(crate) fn take_expired(&mut self, now: MonotonicTime) -> Vec<QueuedRequest> {
         let (expired, waiting) = self
             .waiting
             .drain(..)
-            .partition(|one| one.hold_until <= now);
+            .partition(|one| one.expires_at <= now);
         self.waiting = waiting;
         expired
     }
@@ -116,7 +116,7 @@
     /// those who can be served in time, who then come back late.
     pub(crate) fn work_ahead_ms(&self, now: MonotonicTime, tier: Tier, is_late: bool) -> f64 {
         let before = self.waiting.iter().filter(|one| {
-            one.ask.tier < tier || one.ask.tier == tier && (is_late || !one.is_late(now))
+            one.request.tier < tier || one.request.tier == tier && (is_late || !one.is_late(now))
         });
         before.map(|one| one.run_ms).sum()
     }
--- a/crates/dragonflystep_dispatch/src/quota.rs
+++ b/crates/dragonflystep_dispatch/src/quota.rs
@@ -11,7 +11,7 @@
             MINORITIES_QUOTA_SHARE, MINORITY_QUOTA_SHARE, QUOTA_TOLERANCE_USE,
             UNREPORTED_START_SHARE, UNREPORTED_STARTS_COVERED,
         },
-        spending::SpendingReport,
+        usage::UsageReport,
     },
     std::{collections::HashMap, time::Duration},
 };
@@ -71,12 +71,12 @@
     }
 
     /// Records how many nodes are listed.
-    pub(crate) fn set_listed(&mut self, now: MonotonicTime, nodes: usize) {
-        self.reported.set_listed(now, self.rules.window, nodes);
+    pub(crate) fn set_node_count(&mut self, now: MonotonicTime, nodes: usize) {
+        self.reported.set_node_count(now, self.rules.window, nodes);
     }
 
     /// Applies an entry's report of the time before it asked this owner.
-    pub(crate) fn apply_report(&mut self, now: MonotonicTime, report: SpendingReport) {
+    pub(crate) fn apply_report(&mut self, now: MonotonicTime, report: UsageReport) {
         if self.reported.apply_report(now, self.rules.window, report) == ReportEffect::Reset {
             self.buckets.clear();
         }
@@ -117,7 +117,7 @@
     }
 
     /// Gives back what was taken for a request that did not run.
-    pub(crate) fn give_back(&mut self, account: &AccountName, units: f64) {
+    pub(crate) fn refund(&mut self, account: &AccountName, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.units += units;
         }
--- a/crates/dragonflystep_dispatch/src/quota/handover.rs
+++ b/crates/dragonflystep_dispatch/src/quota/handover.rs
@@ -4,7 +4,7 @@
     crate::{
         catalogue::AccountQuota,
         ids::{AccountName, MonotonicTime, NodeName},
-        spending::SpendingReport,
+        usage::UsageReport,
     },
     std::{collections::HashMap, time::Duration},
 };
@@ -52,7 +52,7 @@
     }
 
     /// Notes how many nodes are listed from now on.
-    pub(crate) fn set_listed(&mut self, now: MonotonicTime, window: Duration, nodes: usize) {
+    pub(crate) fn set_node_count(&mut self, now: MonotonicTime, window: Duration, nodes: usize) {
         if let Some((_, until)) = self.listed.last_mut() {
             *until = now;
         }
@@ -65,7 +65,7 @@
         &mut self,
         now: MonotonicTime,
         window: Duration,
-        report: SpendingReport,
+        report: UsageReport,
     ) -> ReportEffect {
         let mut effect = ReportEffect::Added;
         if let Some(known) = self.entries.get_mut(&report.node)
@@ -91,7 +91,7 @@
         }
     }
 
-    fn accept(&mut self, now: MonotonicTime, window: Duration, report: SpendingReport) {
+    fn accept(&mut self, now: MonotonicTime, window: Duration, report: UsageReport) {
         self.version += 1;
         let now_s = now.as_secs_f64();
         let reach_s = report.covers.min(window).as_secs_f64();
@@ -105,10 +105,10 @@
             .entries
             .insert(report.node, known)
             .map_or(f64::INFINITY, |before| before.since_s);
-        for spending in report.accounts {
-            let slices = self.accounts.entry(spending.account).or_default();
+        for usage in report.accounts {
+            let slices = self.accounts.entry(usage.account).or_default();
             slices.retain(|slice| slice.at_s + window.as_secs_f64() > now_s);
-            slices.extend(spending.slices.iter().map(|slice| {
+            slices.extend(usage.slices.iter().map(|slice| {
                 let at_s = now_s - slice.age.as_secs_f64();
                 let counted = if at_s > counted_since_s {
                     slice.units_granted_by_receiver
@@ -177,8 +177,8 @@
 }
 
 /// Whether owners other than the receiver granted something within the time `since`.
-fn granted_by_others(report: &SpendingReport, since: Duration) -> bool {
-    let slices = report.accounts.iter().flat_map(|spending| &spending.slices);
+fn granted_by_others(report: &UsageReport, since: Duration) -> bool {
+    let slices = report.accounts.iter().flat_map(|usage| &usage.slices);
     let mut recent = slices.filter(|slice| slice.age < since);
     recent.any(|slice| slice.units > slice.units_granted_by_receiver)
 }
--- a/crates/dragonflystep_dispatch/src/refusal.rs
+++ b/crates/dragonflystep_dispatch/src/refusal.rs
@@ -6,12 +6,12 @@
 
 use {
     crate::{
-        ask::{Ask, Refusal, RefusalReason},
         ids::{MonotonicTime, Tier},
         limits::{
-            ARRIVAL_WINDOW_S, LATE_WAIT_OBJECTIVES, LEAST_CAPACITY_SHARE, LONGEST_RETRY_AFTER,
-            LONGEST_RETURNED_WAIT_SHARE, LONGEST_WAIT_SHARE, SHORTEST_RETRY_AFTER,
+            ARRIVAL_WINDOW_S, LATE_WAIT_OBJECTIVES, MAX_RETRY_AFTER, MAX_RETURNED_WAIT_SHARE,
+            MAX_WAIT_SHARE, MIN_CAPACITY_SHARE, MIN_RETRY_AFTER,
         },
+        messages::{Refusal, RefusalReason, SlotRequest},
     },
     std::{collections::BTreeMap, time::Duration},
 };
@@ -39,7 +39,7 @@
 
 impl ArrivalRates {
     /// Notes work that arrives.
-    pub(crate) fn arrived(&mut self, now: MonotonicTime, tier: Tier, work_ms: f64) {
+    pub(crate) fn record_arrival(&mut self, now: MonotonicTime, tier: Tier, work_ms: f64) {
         let rate = self.tiers.entry(tier).or_insert(Rate {
             work_ms: 0.0,
             at: now,
@@ -49,7 +49,7 @@
     }
 
     /// Places that the tiers above `tier` keep busy.
-    pub(crate) fn places_above(&mut self, now: MonotonicTime, tier: Tier) -> f64 {
+    pub(crate) fn slots_above(&mut self, now: MonotonicTime, tier: Tier) -> f64 {
         let mut work_ms = 0.0;
         for (_, rate) in self.tiers.range_mut(..tier) {
             rate.decay(now);
@@ -61,8 +61,8 @@
 
 /// Predicted time until a place for a new request, from the work before it and the places left to its
 /// tier.
-pub(crate) fn predicted_wait(work_ahead_ms: f64, places: f64, places_above: f64) -> Duration {
-    let free = (places - places_above).max(places * LEAST_CAPACITY_SHARE);
+pub(crate) fn predicted_wait(work_ahead_ms: f64, slots: f64, slots_above: f64) -> Duration {
+    let free = (slots - slots_above).max(slots * MIN_CAPACITY_SHARE);
     let ms = work_ahead_ms / free.max(0.1);
     Duration::from_secs_f64(ms.min(3.6e6) / 1e3)
 }
@@ -71,19 +71,23 @@
 ///
 /// Who comes for the first time and can't be served in time is better told at once when to come back.
 /// Who came back waits longer, since a second refusal leaves the caller no time for a third try.
-pub(crate) fn longest_wait(ask: &Ask, has_returned: bool, first: Duration) -> Duration {
+pub(crate) fn longest_wait(
+    request: &SlotRequest,
+    has_returned: bool,
+    time_to_first_event: Duration,
+) -> Duration {
     if has_returned {
-        return ask.time_left.mul_f64(LONGEST_RETURNED_WAIT_SHARE);
+        return request.time_left.mul_f64(MAX_RETURNED_WAIT_SHARE);
     }
-    let in_time = ask.objective_left.saturating_sub(first);
-    let beyond = ask.objective_left.mul_f64(LATE_WAIT_OBJECTIVES);
-    (in_time + beyond).min(ask.time_left.mul_f64(LONGEST_WAIT_SHARE))
+    let in_time = request.objective_left.saturating_sub(time_to_first_event);
+    let beyond = request.objective_left.mul_f64(LATE_WAIT_OBJECTIVES);
+    (in_time + beyond).min(request.time_left.mul_f64(MAX_WAIT_SHARE))
 }
 
 /// A refusal with the time to come back.
 pub(crate) fn refuse(reason: RefusalReason, wait: Duration) -> Refusal {
     Refusal {
         reason,
-        retry_after: wait.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER),
+        retry_after: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
     }
 }
--- a/crates/dragonflystep_dispatch/src/refused_requests.rs
+++ b/crates/dragonflystep_dispatch/src/refused_requests.rs
@@ -8,9 +8,9 @@
 
 use {
     crate::{
-        ask::Ask,
         ids::{MonotonicTime, RequestFingerprint},
-        limits::MOST_REFUSED_REMEMBERED,
+        limits::MAX_REFUSED_REMEMBERED,
+        messages::SlotRequest,
     },
     std::collections::HashMap,
 };
@@ -30,7 +30,7 @@
 
 impl RefusedRequests {
     /// When the request was asked for first, if it was refused then.
-    pub(crate) fn first_asked_at(
+    pub(crate) fn first_requested_at(
         &self,
         now: MonotonicTime,
         request: RequestFingerprint,
@@ -40,22 +40,27 @@
     }
 
     /// Notes that `ask`, first asked for at `first_asked_at`, is refused.
-    pub(crate) fn refused(&mut self, now: MonotonicTime, ask: &Ask, first_asked_at: MonotonicTime) {
-        if self.first_tries.len() >= MOST_REFUSED_REMEMBERED {
+    pub(crate) fn record(
+        &mut self,
+        now: MonotonicTime,
+        request: &SlotRequest,
+        first_requested_at: MonotonicTime,
+    ) {
+        if self.first_tries.len() >= MAX_REFUSED_REMEMBERED {
             self.first_tries.retain(|_, other| now < other.over_at);
         }
-        if self.first_tries.len() >= MOST_REFUSED_REMEMBERED {
+        if self.first_tries.len() >= MAX_REFUSED_REMEMBERED {
             return;
         }
         let first_try = FirstTry {
-            asked_at: first_asked_at,
-            over_at: now + ask.time_left,
+            asked_at: first_requested_at,
+            over_at: now + request.time_left,
         };
-        self.first_tries.insert(ask.fingerprint, first_try);
+        self.first_tries.insert(request.fingerprint, first_try);
     }
 
     /// Forgets a request that was answered; the next one like it is another request.
-    pub(crate) fn answered(&mut self, request: RequestFingerprint) {
+    pub(crate) fn forget(&mut self, request: RequestFingerprint) {
         self.first_tries.remove(&request);
     }
 }
--- a/crates/dragonflystep_dispatch/src/wanted_rest.rs
+++ b/crates/dragonflystep_dispatch/src/requested_back_off.rs
@@ -7,17 +7,17 @@
 
 use {
     crate::{
-        ids::{MonotonicTime, NodeStart},
-        limits::{MIN_REFUSED_NODES, REST_TRIAL},
+        ids::{MonotonicTime, NodeIncarnation},
+        limits::{BACK_OFF_PROBE_TIME, MIN_REFUSED_NODES},
     },
     std::time::Duration,
 };
 
 /// The rest that an upstream wants.
 #[derive(Debug, Default)]
-pub(crate) struct WantedRest {
+pub(crate) struct RequestedBackOff {
     /// Until when it wants no requests of which nodes.
-    nodes: Vec<(NodeStart, MonotonicTime)>,
+    nodes: Vec<(NodeIncarnation, MonotonicTime)>,
     until: MonotonicTime,
     /// Whether it has to be shown after the rest that it accepts requests again.
     is_on_trial: bool,
@@ -25,9 +25,9 @@
     tried_at: Option<MonotonicTime>,
 }
 
-impl WantedRest {
+impl RequestedBackOff {
     /// Takes over until when it wants no requests of which nodes.
-    pub(crate) fn set(&mut self, nodes: impl Iterator<Item = (NodeStart, MonotonicTime)>) {
+    pub(crate) fn set(&mut self, nodes: impl Iterator<Item = (NodeIncarnation, MonotonicTime)>) {
         self.nodes.clear();
         self.nodes.extend(nodes);
         let until = self.nodes.iter().map(|(_, until)| *until).max();
@@ -50,7 +50,7 @@
     }
 
     /// Whether it wants no requests of a node.
-    pub(crate) fn is_wanted_from(&self, now: MonotonicTime, node: NodeStart) -> bool {
+    pub(crate) fn is_wanted_from(&self, now: MonotonicTime, node: NodeIncarnation) -> bool {
         let mut nodes = self.nodes.iter();
         nodes.any(|(resting, until)| *resting == node && now < *until)
     }
@@ -62,8 +62,8 @@
     }
 
     /// Whether a request may be sent as far as its rest is concerned.
-    pub(crate) fn has_room(&self, now: MonotonicTime) -> bool {
-        let is_accepted = |at: MonotonicTime| now.saturating_sub(at) >= REST_TRIAL;
+    pub(crate) fn admits_request(&self, now: MonotonicTime) -> bool {
+        let is_accepted = |at: MonotonicTime| now.saturating_sub(at) >= BACK_OFF_PROBE_TIME;
         now >= self.until && (!self.is_on_trial || self.tried_at.is_none_or(is_accepted))
     }
 
--- a/crates/dragonflystep_dispatch/src/rollout.rs
+++ b/crates/dragonflystep_dispatch/src/rollout.rs
@@ -14,12 +14,12 @@
         exposure::Exposure,
     },
     crate::{
-        ask::RunOutcome,
         ids::{MonotonicTime, RouteName, ServiceName, UpstreamId, UpstreamVersion},
         limits::{
-            ROLLOUT_EXPOSURE_USE, ROLLOUT_JUDGE_INTERVAL, ROLLOUT_LEAST_COMPARED_MS,
-            ROLLOUT_LONGEST_SWITCH, ROLLOUT_RECENT, ROLLOUT_SETTLE_MARGIN, ROLLOUT_SLACK_USE,
+            ROLLOUT_EXPOSURE_USE, ROLLOUT_JUDGE_INTERVAL, ROLLOUT_MAX_SWITCH,
+            ROLLOUT_MIN_COMPARED_MS, ROLLOUT_RECENT, ROLLOUT_SETTLE_MARGIN, ROLLOUT_SLACK_USE,
         },
+        messages::RunOutcome,
     },
     std::time::Duration,
 };
@@ -140,7 +140,7 @@
     /// How long all requests may go to the new version before the order ends.
     fn switch_length(&self, now: MonotonicTime, rules: RolloutRules) -> Duration {
         if now >= self.order.ends_at {
-            return ROLLOUT_LONGEST_SWITCH;
+            return ROLLOUT_MAX_SWITCH;
         }
         let left_s = self.order.ends_at.saturating_sub(now).as_secs_f64();
         let expected = self.exposure.expected_requests(now, left_s);
@@ -148,7 +148,7 @@
             + rules.exposed_slack * ROLLOUT_SLACK_USE;
         let left = (permitted - self.exposure.exposed()).max(0.0);
         let length_s = left / self.exposure.requests_per_s(now).max(1.0);
-        Duration::from_secs_f64(length_s).min(ROLLOUT_LONGEST_SWITCH)
+        Duration::from_secs_f64(length_s).min(ROLLOUT_MAX_SWITCH)
     }
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Whether requests that are no canaries may go to an upstream of `version`.
-    pub(crate) fn takes_main(&self, version: &UpstreamVersion) -> bool {
+    pub(crate) fn takes_main_traffic(&self, version: &UpstreamVersion) -> bool {
         self.is_new(version) == (self.main_track() == Track::New)
     }
 
@@ -264,9 +264,14 @@
     }
 
     /// Counts a request of the service; says whether it is to be a canary.
-    pub(crate) fn asked(&mut self, route: &RouteName, rules: RolloutRules, may_be: bool) -> bool {
+    pub(crate) fn admit_canary(
+        &mut self,
+        route: &RouteName,
+        rules: RolloutRules,
+        may_be: bool,
+    ) -> bool {
         match &mut self.stages {
-            Stages::Canary(stage) => stage.exposure.asked(route, rules, may_be),
+            Stages::Canary(stage) => stage.exposure.admit_canary(route, rules, may_be),
             Stages::Switching(stage) => {
                 stage.exposure.asked_in_switch(route);
                 false
@@ -412,7 +417,7 @@
 
 /// What a run's end says of its version; nothing if it says nothing.
 pub(crate) fn sample_of(outcome: RunOutcome, took_ms: f64, expected_ms: f64) -> Option<Sample> {
-    let compared_ms = |ms: f64| ms.max(ROLLOUT_LEAST_COMPARED_MS);
+    let compared_ms = |ms: f64| ms.max(ROLLOUT_MIN_COMPARED_MS);
     let log_ratio = (compared_ms(took_ms) / compared_ms(expected_ms)).ln();
     match outcome {
         RunOutcome::Completed => Some(Sample::Answered { log_ratio }),
--- a/crates/dragonflystep_dispatch/src/rollout/evidence.rs
+++ b/crates/dragonflystep_dispatch/src/rollout/evidence.rs
@@ -8,8 +8,8 @@
     crate::{
         ids::{RouteName, UpstreamId},
         limits::{
-            ROLLOUT_FALSE_ALARM, ROLLOUT_LEAST_ANSWERS, ROLLOUT_LEAST_ROUTE_ANSWERS,
-            ROLLOUT_SLOWDOWN_DEVIATIONS, ROLLOUT_SMALLEST_SLOWDOWN, ROLLOUT_UPSTREAM_DEVIATIONS,
+            ROLLOUT_FALSE_ALARM, ROLLOUT_MIN_ANSWERS, ROLLOUT_MIN_ROUTE_ANSWERS,
+            ROLLOUT_MIN_SLOWDOWN, ROLLOUT_SLOWDOWN_DEVIATIONS, ROLLOUT_UPSTREAM_DEVIATIONS,
         },
     },
     std::{
@@ -143,10 +143,10 @@
     pub(crate) fn is_sufficient(&self) -> bool {
         let all: f64 = self.routes.values().map(|one| one[NEW].answers()).sum();
         let on_each = self.routes.values().all(|one| {
-            let is_rare = one[OLD].answers() < ROLLOUT_LEAST_ANSWERS;
-            is_rare || one[NEW].answers() >= ROLLOUT_LEAST_ROUTE_ANSWERS
+            let is_rare = one[OLD].answers() < ROLLOUT_MIN_ANSWERS;
+            is_rare || one[NEW].answers() >= ROLLOUT_MIN_ROUTE_ANSWERS
         });
-        all >= ROLLOUT_LEAST_ANSWERS && on_each
+        all >= ROLLOUT_MIN_ANSWERS && on_each
     }
 
     /// Answers and failures by route, for logs.
@@ -297,7 +297,7 @@
         .iter()
         .map(|(old, new)| (old.rate(of), new.careful_rate(of)));
     let known: Vec<(Rate, Rate)> = known
-        .filter(|(old, _)| old.trials >= ROLLOUT_LEAST_ANSWERS)
+        .filter(|(old, _)| old.trials >= ROLLOUT_MIN_ANSWERS)
         .collect();
     let events: f64 = known.iter().map(|(_, new)| new.events).sum();
     if events < 2.0 {
@@ -328,7 +328,7 @@
 fn slowdown(old: &Samples, new: &Samples) -> Option<f64> {
     let (old_mean, old_spread, old_count) = old.mean_duration()?;
     let (new_mean, new_spread, new_count) = new.careful_mean_duration()?;
-    if old.timed() < ROLLOUT_LEAST_ANSWERS || new.timed() < ROLLOUT_LEAST_ROUTE_ANSWERS {
+    if old.timed() < ROLLOUT_MIN_ANSWERS || new.timed() < ROLLOUT_MIN_ROUTE_ANSWERS {
         return None;
     }
     let shift = new_mean - old_mean;
@@ -349,7 +349,7 @@
         ROLLOUT_SLOWDOWN_DEVIATIONS
     };
     let variance = old_spread / old_count + new_variance;
-    let is_slower = shift > ROLLOUT_SMALLEST_SLOWDOWN.ln() && shift > deviations * variance.sqrt();
+    let is_slower = shift > ROLLOUT_MIN_SLOWDOWN.ln() && shift > deviations * variance.sqrt();
     is_slower.then(|| shift.exp())
 }
 
--- a/crates/dragonflystep_dispatch/src/rollout/exposure.rs
+++ b/crates/dragonflystep_dispatch/src/rollout/exposure.rs
@@ -4,7 +4,7 @@
     super::RolloutRules,
     crate::{
         ids::{MonotonicTime, RouteName},
-        limits::{ROLLOUT_CANARY_USE, ROLLOUT_MOST_ROUTE_SHARE, ROLLOUT_SLACK_REQUESTS},
+        limits::{ROLLOUT_CANARY_USE, ROLLOUT_MAX_ROUTE_SHARE, ROLLOUT_SLACK_REQUESTS},
     },
     std::collections::HashMap,
 };
@@ -45,7 +45,12 @@
 
     /// Counts a request; says whether it is to be a canary. Routes with few requests send a larger share of them, so that
     /// a fault on one of those shows as soon.
-    pub(crate) fn asked(&mut self, route: &RouteName, rules: RolloutRules, may_be: bool) -> bool {
+    pub(crate) fn admit_canary(
+        &mut self,
+        route: &RouteName,
+        rules: RolloutRules,
+        may_be: bool,
+    ) -> bool {
         self.requests += 1;
         let permitted = self.permitted_canaries(rules);
         let has_credit = self.add_credit(route, permitted);
@@ -76,7 +81,7 @@
         let routes = self.routes.len() as f64;
         let known = self.routes.entry(route.clone()).or_default();
         let share = permitted / (routes * known.requests as f64);
-        known.credit = (known.credit + share.min(ROLLOUT_MOST_ROUTE_SHARE)).min(most);
+        known.credit = (known.credit + share.min(ROLLOUT_MAX_ROUTE_SHARE)).min(most);
         known.credit >= 1.0
     }
 
--- a/crates/dragonflystep_dispatch/src/speed.rs
+++ b/crates/dragonflystep_dispatch/src/speed.rs
@@ -5,12 +5,12 @@
 
 use {
     crate::{
-        ask::{Ended, WorkSize},
         ids::RouteName,
         limits::{
             FIRST_EVENT_BASE_MS, INITIAL_MS_PER_EVENT, INITIAL_PLAIN_MS,
-            INITIAL_PREFILL_MS_PER_TOKEN, MEAN_WEIGHT, SMALLEST_MEASURED_PROMPT_TOKENS,
+            INITIAL_PREFILL_MS_PER_TOKEN, MEAN_WEIGHT, MIN_MEASURED_PROMPT_TOKENS,
         },
+        messages::{RunReport, WorkSize},
     },
     std::collections::HashMap,
 };
@@ -41,12 +41,12 @@
 
 impl Speed {
     /// Learns from the end of a stream that had `tokens_read` to be read before its first event.
-    pub(crate) fn learn_stream(&mut self, ended: &Ended, tokens_read: f64) {
+    pub(crate) fn learn_stream(&mut self, ended: &RunReport, tokens_read: f64) {
         let Some(to_first) = ended.to_first_event else {
             return;
         };
         let first_ms = to_first.as_secs_f64() * 1e3;
-        if tokens_read >= SMALLEST_MEASURED_PROMPT_TOKENS {
+        if tokens_read >= MIN_MEASURED_PROMPT_TOKENS {
             let sample = (first_ms - FIRST_EVENT_BASE_MS).max(0.5) / tokens_read;
             move_mean(&mut self.prefill_ms_per_token, sample);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Learns from the end of a plain call whose route takes `mean_ms`.
-    pub(crate) fn learn_plain(&mut self, ended: &Ended, mean_ms: f64) {
+    pub(crate) fn learn_plain(&mut self, ended: &RunReport, mean_ms: f64) {
         let sample = ended.to_end.as_secs_f64() * 1e3 / mean_ms.max(1.0);
         move_mean(&mut self.plain_ratio, sample.min(10.0));
     }
@@ -88,16 +88,21 @@
 
 /// Means learned from the runs of a service's routes.
 #[derive(Debug, Default)]
-pub(crate) struct RouteMeans {
+pub(crate) struct RouteAverages {
     /// Events that came for each that was expected.
     events_ratio: HashMap<RouteName, f64>,
     /// Milliseconds of a plain call.
     plain_ms: HashMap<RouteName, f64>,
 }
 
-impl RouteMeans {
+impl RouteAverages {
     /// Learns from a whole answer.
-    pub(crate) fn learn(&mut self, route: &RouteName, ended: &Ended, expected_events: Option<f64>) {
+    pub(crate) fn learn(
+        &mut self,
+        route: &RouteName,
+        ended: &RunReport,
+        expected_events: Option<f64>,
+    ) {
         match expected_events {
             Some(expected) => {
                 let ratio = self.events_ratio.entry(route.clone()).or_insert(1.0);
--- a/crates/dragonflystep_dispatch/src/upstream.rs
+++ b/crates/dragonflystep_dispatch/src/upstream.rs
@@ -2,17 +2,17 @@
 
 use {
     crate::{
-        ask::{Ask, RunOutcome, UpstreamLoad},
-        cached_parts::CachedParts,
         ids::{DataCentreName, MonotonicTime, RunId, ServiceName, UpstreamId, UpstreamVersion},
         limits::{
-            DEFAULT_SLOTS, FAILURES_BEFORE_REST, FIRST_REST, FOREIGN_LOAD_MEMORY, FORGOTTEN_RUN,
-            FULL_REST, LONGEST_REST, MEAN_WEIGHT,
+            DEFAULT_SLOTS, FAILURES_BEFORE_BACK_OFF, FOREIGN_LOAD_MEMORY, INITIAL_BACK_OFF,
+            LOST_RUN_GRACE, MAX_BACK_OFF, MEAN_WEIGHT, REJECTION_BACK_OFF,
         },
+        messages::{RunOutcome, SlotRequest, UpstreamLoad},
         notices::UpstreamNotices,
         pacer::RequestPacer,
+        prefix_cache::PrefixCache,
+        requested_back_off::RequestedBackOff,
         speed::Speed,
-        wanted_rest::WantedRest,
     },
     serde::{Deserialize, Serialize},
     std::{cmp::Reverse, collections::HashMap, time::Duration},
@@ -54,10 +54,10 @@
 /// A run at an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
-    pub(crate) ask: Ask,
+    pub(crate) request: SlotRequest,
     /// Tokens to be read before its first event, those of earlier runs included.
-    pub(crate) tokens_before_first: f64,
-    pub(crate) first_expected_at: MonotonicTime,
+    pub(crate) prefill_backlog_tokens: f64,
+    pub(crate) first_event_expected_at: MonotonicTime,
     pub(crate) end_expected_at: MonotonicTime,
     /// Whether it was counted as failed since it takes far too long.
     pub(crate) is_overdue: bool,
@@ -69,7 +69,7 @@
     pub(crate) entry: Upstream,
     pub(crate) runs: HashMap<RunId, Run>,
     pub(crate) speed: Speed,
-    pub(crate) cached: CachedParts,
+    pub(crate) prefix_cache: PrefixCache,
     /// Share of the last runs that failed.
     pub(crate) failure_rate: f64,
     /// Canaries that it got, while its version was new.
@@ -80,11 +80,11 @@
     failures_in_row: u32,
     /// Whether its last failure was that no connection could be opened.
     is_unreachable: bool,
-    rest: Duration,
-    rests_until: MonotonicTime,
+    back_off: Duration,
+    back_off_until: MonotonicTime,
     /// Keeps to the rate limit that it names.
     pacer: Option<RequestPacer>,
-    pub(crate) wanted_rest: WantedRest,
+    pub(crate) requested_back_off: RequestedBackOff,
 }
 
 impl LiveUpstream {
@@ -93,22 +93,22 @@
             entry,
             runs: HashMap::new(),
             speed,
-            cached: CachedParts::new(cache_tokens),
+            prefix_cache: PrefixCache::new(cache_tokens),
             failure_rate: 0.0,
             canaries: 0,
             foreign_runs: 0,
             foreign_until: Duration::ZERO,
             failures_in_row: 0,
             is_unreachable: false,
-            rest: FIRST_REST,
-            rests_until: Duration::ZERO,
+            back_off: INITIAL_BACK_OFF,
+            back_off_until: Duration::ZERO,
             pacer: None,
-            wanted_rest: WantedRest::default(),
+            requested_back_off: RequestedBackOff::default(),
         }
     }
 
     /// Keeps to what it said of itself; of its rate limit this owner may use a share.
-    pub(crate) fn keep_to_notices(
+    pub(crate) fn apply_notices(
         &mut self,
         now: MonotonicTime,
         notices: &UpstreamNotices,
@@ -117,7 +117,8 @@
         if notices.is_leaving(&self.entry.id) {
             self.entry.phase = UpstreamPhase::Draining;
         }
-        self.wanted_rest.set(notices.rests(&self.entry.id));
+        self.requested_back_off
+            .set(notices.back_offs(&self.entry.id));
         let requests_per_s = notices.rate_limit(&self.entry.id);
         self.pacer = match (self.pacer.take(), requests_per_s) {
             (_, None) => None,
@@ -149,22 +150,22 @@
 
     /// Counts a request against what it permits.
     pub(crate) fn note_sent(&mut self, now: MonotonicTime) {
-        self.wanted_rest.note_sent(now);
+        self.requested_back_off.note_sent(now);
         if let Some(pacer) = &mut self.pacer {
             pacer.take(now);
         }
     }
 
     /// Requests that it has under way at once when all of `run_ms` are sent that it takes.
-    pub(crate) fn effective_places(&self, run_ms: f64) -> f64 {
+    pub(crate) fn effective_slots(&self, run_ms: f64) -> f64 {
         let places = f64::from(self.slots());
         self.limited_per_s()
             .map_or(places, |rate| places.min(rate * run_ms / 1e3))
     }
 
     /// Lets it rest until a time.
-    pub(crate) fn hold(&mut self, until: MonotonicTime) {
-        self.rests_until = self.rests_until.max(until);
+    pub(crate) fn extend_back_off(&mut self, until: MonotonicTime) {
+        self.back_off_until = self.back_off_until.max(until);
     }
 
     /// Orders upstreams by who gets the next canary: all in turn, so that one faulty upstream does not stand for its
@@ -182,17 +183,20 @@
     /// Whether it takes requests at all now.
     pub(crate) fn is_usable(&self, now: MonotonicTime) -> bool {
         self.entry.phase == UpstreamPhase::Ready
-            && now >= self.rests_until
-            && now >= self.wanted_rest.until()
+            && now >= self.back_off_until
+            && now >= self.requested_back_off.until()
     }
 
     /// Whether a request can start at once.
-    pub(crate) fn has_room(&self, now: MonotonicTime) -> bool {
-        if !self.is_usable(now) || !self.has_permit(now) || !self.wanted_rest.has_room(now) {
+    pub(crate) fn has_free_slot(&self, now: MonotonicTime) -> bool {
+        if !self.is_usable(now)
+            || !self.has_permit(now)
+            || !self.requested_back_off.admits_request(now)
+        {
             return false;
         }
         // After a rest one request at a time shows whether the upstream is back.
-        let is_on_trial = self.failures_in_row >= FAILURES_BEFORE_REST;
+        let is_on_trial = self.failures_in_row >= FAILURES_BEFORE_BACK_OFF;
         let places = if is_on_trial { 1 } else { self.slots() };
         let foreign = if now < self.foreign_until {
             self.foreign_runs
@@ -213,39 +217,48 @@
     }
 
     /// Whether it could run a request although it rests, for failures of its answers or because it refused another node.
-    pub(crate) fn has_room_in_need(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn has_fallback_slot(&self, now: MonotonicTime) -> bool {
         if self.entry.phase != UpstreamPhase::Ready || !self.has_permit(now) {
             return false;
         }
-        let is_tried = self.wanted_rest.may_be_tried(now) && self.runs.is_empty();
-        let is_resting = now < self.wanted_rest.until();
+        let is_tried = self.requested_back_off.may_be_tried(now) && self.runs.is_empty();
+        let is_resting = now < self.requested_back_off.until();
         let has_place = (self.runs.len() as u32) < self.slots();
         is_tried || (!is_resting && self.is_suspended() && has_place)
     }
 
     /// When the prompts that are here now will be read.
     pub(crate) fn prefill_done_at(&self, now: MonotonicTime) -> MonotonicTime {
-        let last = self.runs.values().map(|run| run.first_expected_at).max();
+        let last = self
+            .runs
+            .values()
+            .map(|run| run.first_event_expected_at)
+            .max();
         last.unwrap_or(now).max(now)
     }
 
     /// Whether it is at rest, or on trial after a rest, because its answers fail.
     pub(crate) fn is_suspended(&self) -> bool {
-        self.failures_in_row >= FAILURES_BEFORE_REST && !self.is_unreachable
+        self.failures_in_row >= FAILURES_BEFORE_BACK_OFF && !self.is_unreachable
     }
 
     /// Notes how a run ended; for failed answers it rests only if `may_rest`.
-    pub(crate) fn note_outcome(&mut self, now: MonotonicTime, outcome: RunOutcome, may_rest: bool) {
+    pub(crate) fn note_outcome(
+        &mut self,
+        now: MonotonicTime,
+        outcome: RunOutcome,
+        may_back_off: bool,
+    ) {
         let failed = match outcome {
             RunOutcome::Completed => false,
             RunOutcome::Failed | RunOutcome::Broken | RunOutcome::Unreachable => true,
             RunOutcome::Misdirected => {
                 // The address belongs to another upstream; the registry will say so shortly.
-                self.rests_until = now + LONGEST_REST;
+                self.back_off_until = now + MAX_BACK_OFF;
                 return;
             }
             RunOutcome::Rejected => {
-                self.rests_until = self.rests_until.max(now + FULL_REST);
+                self.back_off_until = self.back_off_until.max(now + REJECTION_BACK_OFF);
                 return;
             }
             RunOutcome::Cancelled | RunOutcome::Withheld => return,
@@ -254,27 +267,27 @@
         self.failure_rate += (sample - self.failure_rate) * MEAN_WEIGHT;
         if !failed {
             if self.is_suspended() {
-                self.rests_until = now;
+                self.back_off_until = now;
             }
             self.failures_in_row = 0;
-            self.rest = FIRST_REST;
+            self.back_off = INITIAL_BACK_OFF;
             return;
         }
         self.failures_in_row += 1;
         self.is_unreachable = outcome == RunOutcome::Unreachable;
-        if !self.is_unreachable && !may_rest {
-            self.failures_in_row = self.failures_in_row.min(FAILURES_BEFORE_REST - 1);
+        if !self.is_unreachable && !may_back_off {
+            self.failures_in_row = self.failures_in_row.min(FAILURES_BEFORE_BACK_OFF - 1);
         }
-        if self.is_unreachable || self.failures_in_row >= FAILURES_BEFORE_REST {
-            self.failures_in_row = self.failures_in_row.max(FAILURES_BEFORE_REST);
-            self.rests_until = now + self.rest;
-            self.rest = (self.rest * 2).min(LONGEST_REST);
+        if self.is_unreachable || self.failures_in_row >= FAILURES_BEFORE_BACK_OFF {
+            self.failures_in_row = self.failures_in_row.max(FAILURES_BEFORE_BACK_OFF);
+            self.back_off_until = now + self.back_off;
+            self.back_off = (self.back_off * 2).min(MAX_BACK_OFF);
         }
     }
 
     /// Drops runs whose end was never reported.
     pub(crate) fn forget_old_runs(&mut self, now: MonotonicTime) {
         self.runs
-            .retain(|_, run| now < run.end_expected_at + run.ask.time_left.min(FORGOTTEN_RUN));
+            .retain(|_, run| now < run.end_expected_at + run.request.time_left.min(LOST_RUN_GRACE));
     }
 }
--- a/crates/dragonflystep_dispatch/src/spending.rs
+++ b/crates/dragonflystep_dispatch/src/usage.rs
@@ -18,7 +18,7 @@
 
 /// What an account spent within a short time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SpentSlice {
+pub struct UsageSlice {
     /// How long ago that time ended.
     pub age: Duration,
     /// Units spent.
@@ -29,41 +29,41 @@
 
 /// What an account spent through one entry.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AccountSpending {
+pub struct AccountUsage {
     /// The account.
     pub account: AccountName,
     /// Its spending, the latest first.
-    pub slices: Vec<SpentSlice>,
+    pub slices: Vec<UsageSlice>,
 }
 
 /// What all accounts spent through one entry within the last window.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SpendingReport {
+pub struct UsageReport {
     /// The entry.
     pub node: NodeName,
     /// How far back the report reaches; an entry that has just started knows nothing of before.
     pub covers: Duration,
     /// Accounts that spent something.
-    pub accounts: Vec<AccountSpending>,
+    pub accounts: Vec<AccountUsage>,
 }
 
 /// What accounts spent through this entry.
 ///
 /// # Examples
 /// ```
-/// use dragonflystep_dispatch::SpendingLedger;
+/// use dragonflystep_dispatch::UsageLedger;
 /// use std::time::Duration;
 ///
 /// let s = Duration::from_secs;
-/// let mut ledger = SpendingLedger::new(s(8), false);
-/// ledger.spent(s(10), &"mill".into(), &"node-1".into(), 300.0);
+/// let mut ledger = UsageLedger::new(s(8), false);
+/// ledger.record(s(10), &"mill".into(), &"node-1".into(), 300.0);
 /// let report = ledger.report(s(11), "node-7".into(), "node-2");
 /// assert_eq!(report.accounts[0].slices[0].units, 300.0);
 /// assert_eq!(report.accounts[0].slices[0].units_granted_by_receiver, 0.0);
 /// assert!(ledger.report(s(30), "node-7".into(), "node-2").accounts.is_empty());
 /// ```
 #[derive(Debug)]
-pub struct SpendingLedger {
+pub struct UsageLedger {
     window: Duration,
     /// Whether nothing can have been spent before the zero of its clock.
     is_first_start: bool,
@@ -77,7 +77,7 @@
     units: f64,
 }
 
-impl SpendingLedger {
+impl UsageLedger {
     /// A ledger that knows nothing before the zero of its clock, unless the whole system started then for the
     /// first time.
     pub fn new(window: Duration, is_first_start: bool) -> Self {
@@ -89,7 +89,7 @@
     }
 
     /// Notes that `owner` granted `units` to an account; less than zero takes back what did not run.
-    pub fn spent(
+    pub fn record(
         &mut self,
         now: MonotonicTime,
         account: &AccountName,
@@ -122,24 +122,21 @@
     }
 
     /// What the entry `node` tells the owner `receiver`.
-    pub fn report(&mut self, now: MonotonicTime, node: NodeName, receiver: &str) -> SpendingReport {
+    pub fn report(&mut self, now: MonotonicTime, node: NodeName, receiver: &str) -> UsageReport {
         let oldest = self.index_of(now).saturating_sub(u64::from(SLICES));
         for slices in self.accounts.values_mut() {
             slices.retain(|slice| slice.index >= oldest);
         }
         self.accounts.retain(|_, slices| !slices.is_empty());
-        let accounts = self
-            .accounts
-            .iter()
-            .map(|(account, slices)| AccountSpending {
-                account: account.clone(),
-                slices: slices
-                    .iter()
-                    .rev()
-                    .map(|slice| self.slice_for(now, slice, receiver))
-                    .collect(),
-            });
-        SpendingReport {
+        let accounts = self.accounts.iter().map(|(account, slices)| AccountUsage {
+            account: account.clone(),
+            slices: slices
+                .iter()
+                .rev()
+                .map(|slice| self.slice_for(now, slice, receiver))
+                .collect(),
+        });
+        UsageReport {
             node,
             covers: if self.is_first_start {
                 self.window
@@ -150,14 +147,14 @@
         }
     }
 
-    fn slice_for(&self, now: MonotonicTime, slice: &Slice, receiver: &str) -> SpentSlice {
+    fn slice_for(&self, now: MonotonicTime, slice: &Slice, receiver: &str) -> UsageSlice {
         let ended_at = self.slice_length().mul_f64((slice.index + 1) as f64);
         let by_receiver = if &*slice.owner == receiver {
             slice.units
         } else {
             0.0
         };
-        SpentSlice {
+        UsageSlice {
             age: now.saturating_sub(ended_at),
             units: slice.units,
             units_granted_by_receiver: by_receiver,
--- a/crates/dragonflystep_dispatch/tests/decisions.rs
+++ b/crates/dragonflystep_dispatch/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use {
     dragonflystep_dispatch::{
-        Ask, Event, Reach, RefusalReason, RunId, RunOutcome, RunningRun, Upstream, UpstreamLoad,
-        UpstreamPhase, Verdict,
+        ActiveRun, Event, RefusalReason, RunId, RunOutcome, SlotDecision, SlotRequest, Upstream,
+        UpstreamLoad, UpstreamPhase, Visibility,
     },
     std::time::Duration,
     support::{
@@ -60,7 +60,7 @@
     assert!(
         refused
             .flatten()
-            .all(|verdict| matches!(verdict, Verdict::Refused(_)))
+            .all(|decision| matches!(decision, SlotDecision::Refused(_)))
     );
 }
 
@@ -116,7 +116,7 @@
     }
     let places = (101..=120)
         .map(|run| ask(&mut owner, AT, plain_ask(run, 0)))
-        .filter(|verdict| matches!(verdict, Some(Verdict::Granted(_))));
+        .filter(|decision| matches!(decision, Some(SlotDecision::Granted(_))));
     // That all but one rest would lose most of the capacity, and the one would be full.
     assert_eq!(places.count(), 16);
 }
@@ -145,7 +145,7 @@
     let mut owner = dispatcher(4, 4);
     owner.reduce(
         AT,
-        Event::ReachChanged(Reach {
+        Event::VisibilityChanged(Visibility {
             visible: 1,
             known: 8,
         }),
@@ -156,7 +156,7 @@
     assert_eq!(ask(&mut owner, AT, plain_ask(3, 0)), None);
     owner.reduce(
         AT,
-        Event::ReachChanged(Reach {
+        Event::VisibilityChanged(Visibility {
             visible: 8,
             known: 8,
         }),
@@ -170,8 +170,8 @@
     let mut owner = dispatcher(1, 1);
     owner.reduce(
         AT,
-        Event::Adopted(RunningRun {
-            ask: plain_ask(9, 0),
+        Event::RunAdopted(ActiveRun {
+            request: plain_ask(9, 0),
             upstream: "engine-0".into(),
             running_for: Duration::from_millis(100),
         }),
@@ -186,7 +186,7 @@
     let mut owner = dispatcher(1, 1);
     granted_to(ask(&mut owner, AT, plain_ask(1, 0)));
     assert_eq!(ask(&mut owner, AT, plain_ask(2, 0)), None);
-    owner.reduce(AT, Event::Withdrawn(SERVICE.into(), 2));
+    owner.reduce(AT, Event::RequestWithdrawn(SERVICE.into(), 2));
     assert!(owner.reduce(AT, ended(1, RunOutcome::Completed)).is_empty());
 }
 
@@ -195,11 +195,11 @@
     let mut owner = dispatcher(50, 4);
     let mut refused = 0;
     for run in 1..=100 {
-        let retry = Ask {
+        let retry = SlotRequest {
             attempt: 1,
             ..plain_ask(run, 0)
         };
-        if let Some(Verdict::Refused(refusal)) = ask(&mut owner, AT, retry) {
+        if let Some(SlotDecision::Refused(refusal)) = ask(&mut owner, AT, retry) {
             assert_eq!(refusal.reason, RefusalReason::RetryBudgetSpent);
             refused += 1;
         }
@@ -212,19 +212,19 @@
 fn a_request_that_broke_three_upstreams_is_refused_until_it_is_answered() {
     let mut owner = dispatcher(4, 4);
     for run in 1..=3 {
-        let poison = Ask {
+        let poison = SlotRequest {
             fingerprint: 77,
             ..plain_ask(run, 0)
         };
         granted_to(ask(&mut owner, AT, poison));
         owner.reduce(AT, ended(run, RunOutcome::Broken));
     }
-    let again = Ask {
+    let again = SlotRequest {
         fingerprint: 77,
         ..plain_ask(4, 0)
     };
-    let verdict = ask(&mut owner, AT, again);
-    assert_eq!(refusal(verdict).reason, RefusalReason::CrashSuspect);
+    let decision = ask(&mut owner, AT, again);
+    assert_eq!(refusal(decision).reason, RefusalReason::CrashSuspect);
     granted_to(ask(&mut owner, AT, plain_ask(5, 0)));
 }
 
@@ -233,7 +233,7 @@
     let mut owner = dispatcher(1, 1);
     granted_to(ask(&mut owner, AT, plain_ask(1, 0)));
     // Its caller gives up before the place is free, so that it is refused at once.
-    let hasty = Ask {
+    let hasty = SlotRequest {
         objective_left: Duration::ZERO,
         time_left: Duration::from_millis(50),
         ..plain_ask(2, 0)
@@ -241,7 +241,7 @@
     ask(&mut owner, AT, hasty);
     owner.reduce(AT + Duration::from_millis(40), Event::Ticked);
     let later = AT + Duration::from_millis(45);
-    let returned = Ask {
+    let returned = SlotRequest {
         fingerprint: 2,
         objective_left: Duration::from_millis(30),
         ..plain_ask(3, 0)
@@ -261,7 +261,7 @@
         granted_to(ask(&mut owner, AT, plain_ask(run, 0)));
     }
     let patient = plain_ask(2, 0);
-    let hasty = Ask {
+    let hasty = SlotRequest {
         time_left: Duration::from_millis(8_500),
         objective_left: Duration::from_millis(590),
         ..plain_ask(3, 0)
--- a/crates/dragonflystep_dispatch/tests/leaving_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/leaving_upstreams.rs
@@ -16,7 +16,7 @@
 const LEAVING: &str = "engine-0";
 
 fn leaving(age: Duration) -> Event {
-    Event::Noticed(UpstreamNotice {
+    Event::NoticeReceived(UpstreamNotice {
         service: SERVICE.into(),
         upstream: LEAVING.into(),
         kind: NoticeKind::Leaving,
@@ -61,7 +61,7 @@
     first.reduce(AT, leaving(Duration::from_millis(300)));
     let mut second = dispatcher(0, 4);
     for notice in first.notices(AT) {
-        second.reduce(AT, Event::Noticed(notice));
+        second.reduce(AT, Event::NoticeReceived(notice));
     }
     let entries = vec![upstream(0, 4), upstream(1, 4)];
     second.reduce(AT, Event::UpstreamsChanged(entries));
--- a/crates/dragonflystep_dispatch/tests/ownership.rs
+++ b/crates/dragonflystep_dispatch/tests/ownership.rs
@@ -1,7 +1,7 @@
 //! Owners follow from the members that are seen, and change as little as possible.
 
 use {
-    dragonflystep_dispatch::{Member, NodeName, member_share, rank_owners},
+    dragonflystep_dispatch::{Member, NodeName, partition_limit_share, rank_owners},
     proptest::prelude::*,
 };
 
@@ -41,7 +41,7 @@
         cuts in proptest::collection::vec(1_usize..12, 1..8),
     ) {
         let known: usize = cuts.iter().sum();
-        let total: f64 = cuts.iter().map(|visible| member_share(*visible, known)).sum();
+        let total: f64 = cuts.iter().map(|visible| partition_limit_share(*visible, known)).sum();
         prop_assert!(total <= 1.125 + 1e-9, "{}", total);
     }
 }
--- a/crates/dragonflystep_dispatch/tests/quota_owners.rs
+++ b/crates/dragonflystep_dispatch/tests/quota_owners.rs
@@ -8,8 +8,8 @@
 
 use {
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Event, NodeName, QuotaRules, Reach, RunId, RunOutcome, SharedLimits,
-        SpendingLedger, Verdict,
+        Dispatcher, Event, NodeName, QuotaRules, RunId, RunOutcome, SharedLimits, SlotDecision,
+        SlotRequest, UsageLedger, Visibility,
     },
     std::{collections::VecDeque, sync::Arc, time::Duration},
     support::{
@@ -60,7 +60,7 @@
     name: NodeName,
     owner: Dispatcher,
     quota: Quota,
-    ledger: SpendingLedger,
+    ledger: UsageLedger,
     started: Duration,
     /// The owner that it asked last, with the number of that owner's starts.
     asked: Option<(usize, u32)>,
@@ -74,25 +74,27 @@
             name: format!("node-{index}").into(),
             owner: new_owner(quota),
             quota,
-            ledger: SpendingLedger::new(WINDOW, false),
+            ledger: UsageLedger::new(WINDOW, false),
             started: Duration::ZERO,
             asked: None,
             starts: 0,
             is_up: true,
         };
-        node.owner.reduce(Duration::ZERO, Event::NodesListed(NODES));
+        node.owner
+            .reduce(Duration::ZERO, Event::NodeCountChanged(NODES));
         node
     }
 
     fn restart(&mut self, at: Duration) {
         self.owner = new_owner(self.quota);
-        self.ledger = SpendingLedger::new(WINDOW, false);
+        self.ledger = UsageLedger::new(WINDOW, false);
         self.started = at;
         self.asked = None;
         self.starts += 1;
         self.is_up = true;
         // The list of nodes is the first that a node learns.
-        self.owner.reduce(Duration::ZERO, Event::NodesListed(NODES));
+        self.owner
+            .reduce(Duration::ZERO, Event::NodeCountChanged(NODES));
     }
 }
 
@@ -155,18 +157,18 @@
             let owner_time = at - self.nodes[owner].started;
             self.nodes[owner]
                 .owner
-                .reduce(owner_time, Event::SpendingReported(report));
+                .reduce(owner_time, Event::UsageReported(report));
         }
         self.runs += 1;
         self.asked += 1;
-        let request = Ask {
+        let request = SlotRequest {
             account: Some("mill".into()),
             quota_units: units,
             ..plain_ask(self.runs, 0)
         };
         let owner_time = at - self.nodes[owner].started;
-        let verdict = ask(&mut self.nodes[owner].owner, owner_time, request);
-        if !matches!(verdict, Some(Verdict::Granted(_))) {
+        let decision = ask(&mut self.nodes[owner].owner, owner_time, request);
+        if !matches!(decision, Some(SlotDecision::Granted(_))) {
             self.refused += 1;
             return;
         }
@@ -177,7 +179,7 @@
         let node = &mut self.nodes[entry];
         let own_time = at - node.started;
         node.ledger
-            .spent(own_time, &"mill".into(), &owner_name, f64::from(units));
+            .record(own_time, &"mill".into(), &owner_name, f64::from(units));
         self.count(at, f64::from(units));
     }
 
@@ -196,13 +198,13 @@
 
     fn see(&mut self, at: Duration, node: usize, visible: usize) {
         let owner_time = at - self.nodes[node].started;
-        let reach = Reach {
+        let visibility = Visibility {
             visible,
             known: NODES,
         };
         self.nodes[node]
             .owner
-            .reduce(owner_time, Event::ReachChanged(reach));
+            .reduce(owner_time, Event::VisibilityChanged(visibility));
     }
 }
 
--- a/crates/dragonflystep_dispatch/tests/quotas.rs
+++ b/crates/dragonflystep_dispatch/tests/quotas.rs
@@ -4,7 +4,7 @@
 
 use {
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Event, RefusalReason, RunId, RunOutcome, SpendingLedger, Verdict,
+        Dispatcher, Event, RefusalReason, RunId, RunOutcome, SlotDecision, SlotRequest, UsageLedger,
     },
     std::{sync::Arc, time::Duration},
     support::{
@@ -28,17 +28,17 @@
     let mut run = from.as_millis() as RunId * 1_000;
     while at < from + length {
         run += 1;
-        let asked = Ask {
+        let asked = SlotRequest {
             account: Some("mill".into()),
             quota_units: units,
             ..plain_ask(run, 0)
         };
         match ask(owner, at, asked) {
-            Some(Verdict::Granted(_)) => {
+            Some(SlotDecision::Granted(_)) => {
                 granted += f64::from(units);
                 owner.reduce(at, ended(run, RunOutcome::Completed));
             }
-            Some(Verdict::Refused(refusal)) => {
+            Some(SlotDecision::Refused(refusal)) => {
                 assert_eq!(refusal.reason, RefusalReason::QuotaExceeded);
                 assert!(refusal.retry_after > Duration::ZERO);
             }
@@ -140,15 +140,15 @@
 const WINDOW: Duration = Duration::from_secs(8);
 
 /// Tells an owner of all that went through an entry which has been running for long.
-fn tell(owner: &mut Dispatcher, at: Duration, ledger: &mut SpendingLedger) {
+fn tell(owner: &mut Dispatcher, at: Duration, ledger: &mut UsageLedger) {
     let report = ledger.report(at, "entry".into(), "another owner");
-    owner.reduce(at, Event::SpendingReported(report));
+    owner.reduce(at, Event::UsageReported(report));
 }
 
 #[test]
 fn an_account_within_its_quota_is_never_refused() {
     let mut owner = with_quota(100_000.0, 100_000.0);
-    tell(&mut owner, AT, &mut SpendingLedger::new(WINDOW, false));
+    tell(&mut owner, AT, &mut UsageLedger::new(WINDOW, false));
     let granted = units_granted(&mut owner, AT, Duration::from_secs(8), 950);
     assert_eq!(granted, 950.0 * 800.0);
 }
@@ -189,19 +189,19 @@
         (400_000.0, 2_000, false),
     ] {
         let mut owner = with_quota(100_000.0, 100_000.0);
-        let mut ledger = SpendingLedger::new(WINDOW, false);
-        ledger.spent(AT, &"mill".into(), &"another owner".into(), spent_before);
+        let mut ledger = UsageLedger::new(WINDOW, false);
+        ledger.record(AT, &"mill".into(), &"another owner".into(), spent_before);
         tell(&mut owner, AT, &mut ledger);
-        let asked = Ask {
+        let asked = SlotRequest {
             account: Some("mill".into()),
             quota_units: asked,
             ..plain_ask(1, 0)
         };
-        let verdict = ask(&mut owner, AT, asked);
+        let decision = ask(&mut owner, AT, asked);
         assert_eq!(
-            matches!(verdict, Some(Verdict::Granted(_))),
+            matches!(decision, Some(SlotDecision::Granted(_))),
             is_granted,
-            "{spent_before}: {verdict:?}"
+            "{spent_before}: {decision:?}"
         );
     }
 }
--- a/crates/dragonflystep_dispatch/tests/rate_limits.rs
+++ b/crates/dragonflystep_dispatch/tests/rate_limits.rs
@@ -4,8 +4,8 @@
 
 use {
     dragonflystep_dispatch::{
-        Dispatcher, Effect, Event, NoticeKind, Reach, RunId, RunOutcome, RunningRun, UpstreamId,
-        UpstreamNotice, Verdict,
+        ActiveRun, Dispatcher, Effect, Event, NoticeKind, RunId, RunOutcome, SlotDecision,
+        UpstreamId, UpstreamNotice, Visibility,
     },
     proptest::prelude::{ProptestConfig, Strategy, prop, prop_assert, proptest},
     std::time::Duration,
@@ -40,7 +40,7 @@
 }
 
 fn notice(kind: NoticeKind, age: Duration) -> Event {
-    Event::Noticed(UpstreamNotice {
+    Event::NoticeReceived(UpstreamNotice {
         service: SERVICE.into(),
         upstream: LIMITED.into(),
         kind,
@@ -77,7 +77,7 @@
 
     fn note(&mut self, effects: Vec<Effect>) {
         for effect in effects {
-            if let Verdict::Granted(grant) = effect.verdict {
+            if let SlotDecision::Granted(grant) = effect.decision {
                 self.running.push((self.step + RUN_STEPS, effect.run));
                 if &*grant.upstream == LIMITED {
                     self.sent.push(self.at);
@@ -103,7 +103,7 @@
             }
             let run = self.next_run;
             self.next_run += 1;
-            self.event(Event::Asked(plain_ask(run, 0)));
+            self.event(Event::SlotRequested(plain_ask(run, 0)));
             self.event(Event::Ticked);
         }
     }
@@ -141,7 +141,7 @@
         assert!(effects.is_empty(), "{effects:?}");
     }
     let effects = owner.reduce(AT + Duration::from_millis(1_000), Event::Ticked);
-    let granted = |effect: &&Effect| matches!(effect.verdict, Verdict::Granted(_));
+    let granted = |effect: &&Effect| matches!(effect.decision, SlotDecision::Granted(_));
     assert_eq!(effects.iter().filter(granted).count(), 1);
 }
 
@@ -205,7 +205,7 @@
 #[test]
 fn a_node_without_a_majority_keeps_to_its_part_of_a_limit() {
     let mut load = Overload::new(dispatcher(2, 4), AT, 1);
-    load.event(Event::ReachChanged(Reach {
+    load.event(Event::VisibilityChanged(Visibility {
         visible: 2,
         known: 8,
     }));
@@ -236,7 +236,7 @@
         for (index, lasts_ms) in lasts_ms.into_iter().enumerate() {
             let mut owner = dispatcher(2, 4);
             for notice in before.notices(at) {
-                owner.reduce(at, Event::Noticed(notice));
+                owner.reduce(at, Event::NoticeReceived(notice));
             }
             let mut load = Overload::new(owner, at, 1 + index as u64 * 10_000);
             load.play(Duration::from_millis(lasts_ms));
@@ -253,12 +253,12 @@
 fn beside(first: &Dispatcher, at: Duration) -> Overload {
     let mut second = dispatcher(2, 4);
     for notice in first.notices(at) {
-        second.reduce(at, Event::Noticed(notice));
+        second.reduce(at, Event::NoticeReceived(notice));
     }
     second.reduce(
         at,
-        Event::Adopted(RunningRun {
-            ask: plain_ask(90_000, 0),
+        Event::RunAdopted(ActiveRun {
+            request: plain_ask(90_000, 0),
             upstream: "engine-1".into(),
             running_for: Duration::from_millis(100),
         }),
--- a/crates/dragonflystep_dispatch/tests/rest_replay.rs
+++ b/crates/dragonflystep_dispatch/tests/rest_replay.rs
@@ -4,8 +4,8 @@
 
 use {
     dragonflystep_dispatch::{
-        Dispatcher, Event, NodeStart, NoticeKind, RunId, RunOutcome, UpstreamId, UpstreamNotice,
-        Verdict, run_id,
+        Dispatcher, Event, NodeIncarnation, NoticeKind, RunId, RunOutcome, SlotDecision,
+        UpstreamId, UpstreamNotice, run_id,
     },
     std::{collections::HashMap, time::Duration},
     support::{Random, SERVICE, dispatcher, plain_ask, verdicts::ended},
@@ -41,7 +41,7 @@
     nodes: u32,
     requests_per_s: f64,
     /// The only node that they refuse; none is all.
-    refused_node: Option<NodeStart>,
+    refused_node: Option<NodeIncarnation>,
     seed: u64,
 }
 
@@ -61,13 +61,13 @@
     load: Load,
     counts: Counts,
     /// Until when a node leaves an upstream alone, and what it sent there meanwhile.
-    rests: HashMap<(NodeStart, UpstreamId), (Duration, u32)>,
+    rests: HashMap<(NodeIncarnation, UpstreamId), (Duration, u32)>,
     running: Vec<(Duration, RunId)>,
 }
 
 impl Replay {
     fn granted(&mut self, at: Duration, run: RunId, upstream: UpstreamId) {
-        let node = (run >> 32) as NodeStart;
+        let node = (run >> 32) as NodeIncarnation;
         let refuses = self.load.refused_node.is_none_or(|refused| refused == node);
         let is_time = (SHED_FROM..SHED_UNTIL).contains(&at);
         let sheds = refuses && is_time && SHEDDING.contains(&&*upstream);
@@ -87,10 +87,13 @@
         if self.way == Way::AllNodes {
             self.owner.reduce(
                 at,
-                Event::Noticed(UpstreamNotice {
+                Event::NoticeReceived(UpstreamNotice {
                     service: SERVICE.into(),
                     upstream,
-                    kind: NoticeKind::Resting { node, lasts: REST },
+                    kind: NoticeKind::BackOff {
+                        node,
+                        duration: REST,
+                    },
                     age: Duration::ZERO,
                 }),
             );
@@ -101,13 +104,13 @@
 
     fn apply(&mut self, at: Duration, effects: Vec<dragonflystep_dispatch::Effect>) {
         for effect in effects {
-            if let Verdict::Granted(grant) = effect.verdict {
+            if let SlotDecision::Granted(grant) = effect.decision {
                 self.granted(at, effect.run, grant.upstream);
             }
         }
     }
 
-    fn ask(&mut self, at: Duration, node: NodeStart, number: u32) {
+    fn ask(&mut self, at: Duration, node: NodeIncarnation, number: u32) {
         let mut ask = plain_ask(run_id(node, number), 0);
         let resting = self
             .rests
@@ -115,7 +118,7 @@
             .filter(|((of, _), (until, _))| *of == node && at < *until);
         ask.avoid = resting.map(|((_, upstream), _)| upstream.clone()).collect();
         self.counts.asked += 1;
-        let effects = self.owner.reduce(at, Event::Asked(ask));
+        let effects = self.owner.reduce(at, Event::SlotRequested(ask));
         self.apply(at, effects);
     }
 }
@@ -142,7 +145,7 @@
         while next <= at {
             next += Duration::from_secs_f64(random.gap_s(load.requests_per_s));
             number += 1;
-            let node = 1 + (random.fraction() * f64::from(load.nodes)) as NodeStart;
+            let node = 1 + (random.fraction() * f64::from(load.nodes)) as NodeIncarnation;
             replay.ask(at, node, number);
         }
         let effects = replay.owner.reduce(at, Event::Ticked);
--- a/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
@@ -4,8 +4,8 @@
 
 use {
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Event, NodeStart, NoticeKind, RefusalReason, RunOutcome, UpstreamNotice,
-        run_id,
+        Dispatcher, Event, NodeIncarnation, NoticeKind, RefusalReason, RunOutcome, SlotRequest,
+        UpstreamNotice, run_id,
     },
     std::time::Duration,
     support::{
@@ -17,25 +17,28 @@
 const REST: Duration = Duration::from_secs(3);
 
 /// Two nodes.
-const FIRST: NodeStart = 1;
-const SECOND: NodeStart = 2;
-const THIRD: NodeStart = 3;
+const FIRST: NodeIncarnation = 1;
+const SECOND: NodeIncarnation = 2;
+const THIRD: NodeIncarnation = 3;
 
-fn resting(upstream: &str, node: NodeStart, age: Duration) -> Event {
-    Event::Noticed(UpstreamNotice {
+fn resting(upstream: &str, node: NodeIncarnation, age: Duration) -> Event {
+    Event::NoticeReceived(UpstreamNotice {
         service: SERVICE.into(),
         upstream: upstream.into(),
-        kind: NoticeKind::Resting { node, lasts: REST },
+        kind: NoticeKind::BackOff {
+            node,
+            duration: REST,
+        },
         age,
     })
 }
 
-fn ask_of(node: NodeStart, number: u32) -> Ask {
+fn ask_of(node: NodeIncarnation, number: u32) -> SlotRequest {
     plain_ask(run_id(node, number), 0)
 }
 
 /// Takes a place for a node's request, which the upstream refuses with a rest.
-fn refuse(owner: &mut Dispatcher, at: Duration, node: NodeStart, number: u32) -> String {
+fn refuse(owner: &mut Dispatcher, at: Duration, node: NodeIncarnation, number: u32) -> String {
     let upstream = granted_to(ask(owner, at, ask_of(node, number)));
     owner.reduce(at, resting(&upstream, node, Duration::ZERO));
     owner.reduce(at, ended(run_id(node, number), RunOutcome::Rejected));
@@ -102,10 +105,10 @@
     first.reduce(AT, resting("engine-0", FIRST, REST / 3));
     let mut second = dispatcher(2, 4);
     for notice in first.notices(AT) {
-        second.reduce(AT, Event::Noticed(notice));
+        second.reduce(AT, Event::NoticeReceived(notice));
     }
     let upstream = "engine-0".into();
-    let is_resting = |at| second.is_resting_for(at, &upstream, FIRST);
+    let is_resting = |at| second.wants_back_off_from(at, &upstream, FIRST);
     assert!(is_resting(AT + REST / 2));
     assert!(!is_resting(AT + REST));
 }
@@ -113,13 +116,13 @@
 #[test]
 fn a_rest_without_end_is_no_fault() {
     let mut owner = dispatcher(2, 4);
-    let kind = NoticeKind::Resting {
+    let kind = NoticeKind::BackOff {
         node: FIRST,
-        lasts: Duration::MAX,
+        duration: Duration::MAX,
     };
     owner.reduce(
         AT,
-        Event::Noticed(UpstreamNotice {
+        Event::NoticeReceived(UpstreamNotice {
             service: SERVICE.into(),
             upstream: "engine-0".into(),
             kind,
--- a/crates/dragonflystep_dispatch/tests/rollouts.rs
+++ b/crates/dragonflystep_dispatch/tests/rollouts.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use {
-    dragonflystep_dispatch::{Event, Reach, RolloutOrder, RolloutPhase, UpstreamPhase},
+    dragonflystep_dispatch::{Event, RolloutOrder, RolloutPhase, UpstreamPhase, Visibility},
     std::{ops::Range, time::Duration},
     support::{
         SERVICE, limits,
@@ -215,13 +215,13 @@
 fn an_owner_that_sees_no_majority_decides_nothing_and_sends_no_canaries() {
     let site = engines();
     let mut player = Player::new(&site, GOOD, 1);
-    let reach = Reach {
+    let visibility = Visibility {
         visible: 3,
         known: 10,
     };
     player
         .dispatcher
-        .reduce(Duration::ZERO, Event::ReachChanged(reach));
+        .reduce(Duration::ZERO, Event::VisibilityChanged(visibility));
     let outcome = player.play();
     assert_eq!(outcome.phase, None);
     assert_eq!(outcome.exposed, 0);
--- a/crates/dragonflystep_dispatch/tests/support/mod.rs
+++ b/crates/dragonflystep_dispatch/tests/support/mod.rs
@@ -15,9 +15,9 @@
         kinds::Kind,
     },
     dragonflystep_dispatch::{
-        Ask, Catalogue, Dispatcher, Ended, Engine, Event, QuotaRules, Refusal, RefusalReason,
-        RolloutRules, RunId, RunOutcome, Service, SharedLimits, Upstream, UpstreamPhase, Verdict,
-        WorkSize,
+        Catalogue, Dispatcher, Engine, Event, QuotaRules, Refusal, RefusalReason, RolloutRules,
+        RunId, RunOutcome, RunReport, Service, SharedLimits, SlotDecision, SlotRequest, Upstream,
+        UpstreamPhase, WorkSize,
     },
     std::{
         collections::{BTreeMap, BinaryHeap, HashMap},
@@ -157,8 +157,8 @@
 }
 
 /// A request of usual size with everything else left at its default.
-pub fn plain_ask(run: RunId, tier: u16) -> Ask {
-    Ask {
+pub fn plain_ask(run: RunId, tier: u16) -> SlotRequest {
+    SlotRequest {
         run,
         service: SERVICE.into(),
         route: "route".into(),
@@ -171,7 +171,7 @@
         size: WorkSize {
             prompt_tokens: 2_000,
             output_tokens: 120,
-            parts: Vec::new(),
+            segments: Vec::new(),
         },
         attempt: 0,
         avoid: Vec::new(),
@@ -310,7 +310,7 @@
     fn arrive(&mut self, at: f64, asked: Asked) {
         let spec = &self.load.kinds[asked.kind];
         let run = self.asked.len() as RunId + 1;
-        let ask = Ask {
+        let ask = SlotRequest {
             route: spec.name.into(),
             tier: spec.tier,
             objective_left: ms(spec.objective_ms),
@@ -321,14 +321,14 @@
                 prompt_tokens: asked.prompt as u32,
                 // The caller's estimate is right at the median only.
                 output_tokens: (spec.events_mean * 0.6) as u32 * TOKENS_PER_EVENT,
-                parts: Vec::new(),
+                segments: Vec::new(),
             },
             ..plain_ask(run, spec.tier)
         };
         let outcome = self.result.kinds.entry(spec.name).or_default();
         outcome.asked += u32::from(!asked.has_returned);
         self.asked.insert(run, asked);
-        self.reduce(at, Event::Asked(ask));
+        self.reduce(at, Event::SlotRequested(ask));
     }
 
     fn step(&mut self, engine: usize, now: f64) {
@@ -360,7 +360,7 @@
         } else {
             outcome.late += 1;
         }
-        let ended = Ended {
+        let ended = RunReport {
             run: run.run,
             service: SERVICE.into(),
             outcome: RunOutcome::Completed,
@@ -368,15 +368,15 @@
             to_end: ms(now - run.started_ms),
             events: run.events,
         };
-        self.reduce(now, Event::Ended(ended));
+        self.reduce(now, Event::RunEnded(ended));
     }
 
     fn reduce(&mut self, now: f64, event: Event) {
         for effect in self.dispatcher.reduce(ms(now), event) {
             let asked = &self.asked[&effect.run];
             let spec = &self.load.kinds[asked.kind];
-            match effect.verdict {
-                Verdict::Granted(grant) => {
+            match effect.decision {
+                SlotDecision::Granted(grant) => {
                     self.granted.push((now, spec.tier));
                     let index = grant.address.rsplit(':').next().expect("a port");
                     let engine = &mut self.engines[index.parse::<usize>().expect("a number")];
@@ -395,7 +395,7 @@
                         engine.plan(now);
                     }
                 }
-                Verdict::Refused(Refusal {
+                SlotDecision::Refused(Refusal {
                     reason,
                     retry_after,
                 }) => {
--- a/crates/dragonflystep_dispatch/tests/support/rollout_player.rs
+++ b/crates/dragonflystep_dispatch/tests/support/rollout_player.rs
@@ -3,8 +3,8 @@
 use {
     super::{Random, SERVICE, catalogue, dispatcher, plain_ask, upstream},
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Ended, Event, RolloutOrder, RolloutPhase, RunId, RunOutcome, Upstream,
-        Verdict, WorkSize,
+        Dispatcher, Event, RolloutOrder, RolloutPhase, RunId, RunOutcome, RunReport, SlotDecision,
+        SlotRequest, Upstream, WorkSize,
     },
     std::{
         cmp::Reverse,
@@ -294,7 +294,7 @@
         let route = &self.site.routes[index];
         self.next_run += 1;
         let run = self.next_run;
-        let ask = Ask {
+        let ask = SlotRequest {
             run,
             route: route.name.into(),
             longest_pause: route.is_stream.then_some(Duration::from_millis(250)),
@@ -304,7 +304,7 @@
                 WorkSize {
                     prompt_tokens: 2_500,
                     output_tokens: 100,
-                    parts: Vec::new(),
+                    segments: Vec::new(),
                 }
             } else {
                 WorkSize::default()
@@ -315,7 +315,7 @@
             self.outcome.requests += 1;
         }
         self.asked.insert(run, (index, now));
-        self.reduce(now, Event::Asked(ask));
+        self.reduce(now, Event::SlotRequested(ask));
     }
 
     pub fn reduce(&mut self, now: f64, event: Event) {
@@ -330,7 +330,7 @@
             }
         }
         for effect in effects {
-            if let Verdict::Granted(grant) = effect.verdict {
+            if let SlotDecision::Granted(grant) = effect.decision {
                 let index = grant.address.rsplit(':').next().expect("a port");
                 self.start(now, effect.run, index.parse().expect("a number"));
             }
@@ -412,7 +412,7 @@
         });
         let is_stream = self.site.routes[flying.route].is_stream;
         let to_end = at(now - flying.started_at_s);
-        let ended = Ended {
+        let ended = RunReport {
             run,
             service: SERVICE.into(),
             outcome: if flying.will_fail {
@@ -425,6 +425,6 @@
             events: flying.events,
         };
         assert!(flying.asked_at_s <= now);
-        self.reduce(now, Event::Ended(ended));
+        self.reduce(now, Event::RunEnded(ended));
     }
 }
--- a/crates/dragonflystep_dispatch/tests/support/verdicts.rs
+++ b/crates/dragonflystep_dispatch/tests/support/verdicts.rs
@@ -2,35 +2,37 @@
 
 use {
     super::SERVICE,
-    dragonflystep_dispatch::{Ask, Dispatcher, Ended, Event, Refusal, RunId, RunOutcome, Verdict},
+    dragonflystep_dispatch::{
+        Dispatcher, Event, Refusal, RunId, RunOutcome, RunReport, SlotDecision, SlotRequest,
+    },
     std::time::Duration,
 };
 
 pub const AT: Duration = Duration::from_secs(20);
 
-pub fn ask(dispatcher: &mut Dispatcher, at: Duration, ask: Ask) -> Option<Verdict> {
+pub fn ask(dispatcher: &mut Dispatcher, at: Duration, ask: SlotRequest) -> Option<SlotDecision> {
     let run = ask.run;
-    let effects = dispatcher.reduce(at, Event::Asked(ask));
+    let effects = dispatcher.reduce(at, Event::SlotRequested(ask));
     let own = effects.into_iter().find(|effect| effect.run == run);
-    own.map(|effect| effect.verdict)
+    own.map(|effect| effect.decision)
 }
 
-pub fn granted_to(verdict: Option<Verdict>) -> String {
-    match verdict {
-        Some(Verdict::Granted(grant)) => grant.upstream.to_string(),
+pub fn granted_to(decision: Option<SlotDecision>) -> String {
+    match decision {
+        Some(SlotDecision::Granted(grant)) => grant.upstream.to_string(),
         other => panic!("no place: {other:?}"),
     }
 }
 
-pub fn refusal(verdict: Option<Verdict>) -> Refusal {
-    match verdict {
-        Some(Verdict::Refused(refusal)) => refusal,
+pub fn refusal(decision: Option<SlotDecision>) -> Refusal {
+    match decision {
+        Some(SlotDecision::Refused(refusal)) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
 pub fn ended(run: RunId, outcome: RunOutcome) -> Event {
-    Event::Ended(Ended {
+    Event::RunEnded(RunReport {
         run,
         service: SERVICE.into(),
         outcome,
--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -28,9 +28,9 @@
     /// Gets a place for the next attempt.
     pub(crate) async fn place(&mut self, job: &Job) -> Result<Place, Refusal> {
         self.places += 1;
-        let ask = job.ask(self);
+        let request = job.ask(self);
         let asked_at = Instant::now();
-        let place = obtain(&job.node, ask).await;
+        let place = obtain(&job.node, request).await;
         self.queued += asked_at.elapsed();
         place
     }
--- a/crates/dragonflystep_edge/src/entry_runs.rs
+++ b/crates/dragonflystep_edge/src/entry_runs.rs
@@ -2,14 +2,15 @@
 
 use {
     dragonflystep_dispatch::{
-        Ask, MonotonicTime, NodeName, RunId, RunningRun, SpendingLedger, SpendingReport, UpstreamId,
+        ActiveRun, MonotonicTime, NodeName, RunId, SlotRequest, UpstreamId, UsageLedger,
+        UsageReport,
     },
     std::{cell::RefCell, collections::HashMap, time::Duration},
 };
 
 /// A run of this entry.
 pub(crate) struct EntryRun {
-    pub(crate) ask: Ask,
+    pub(crate) request: SlotRequest,
     pub(crate) upstream: UpstreamId,
     pub(crate) started_at: MonotonicTime,
     /// The owner that counts it, with the connection over which it was reported.
@@ -19,7 +20,7 @@
 /// Runs of this entry and what accounts spent through it, to tell a new owner of them.
 pub(crate) struct EntryRuns {
     pub(crate) runs: RefCell<HashMap<RunId, EntryRun>>,
-    spending: RefCell<SpendingLedger>,
+    spending: RefCell<UsageLedger>,
     /// The owner that the spending was reported to last, with the connection.
     spending_reported_to: RefCell<Option<(NodeName, u64)>>,
 }
@@ -28,7 +29,7 @@
     pub(crate) fn new(quota_window: Duration, is_first_start: bool) -> Self {
         Self {
             runs: RefCell::default(),
-            spending: RefCell::new(SpendingLedger::new(quota_window, is_first_start)),
+            spending: RefCell::new(UsageLedger::new(quota_window, is_first_start)),
             spending_reported_to: RefCell::default(),
         }
     }
@@ -39,7 +40,7 @@
         now: MonotonicTime,
         own: &NodeName,
         owner: &(NodeName, u64),
-    ) -> Option<SpendingReport> {
+    ) -> Option<UsageReport> {
         let mut reported_to = self.spending_reported_to.borrow_mut();
         if reported_to.as_ref() == Some(owner) {
             return None;
@@ -51,12 +52,12 @@
 
     /// Notes what the account of a run spent, or, with a factor below zero, takes it back.
     pub(crate) fn note_spent(&self, now: MonotonicTime, run: &EntryRun, factor: f64) {
-        let Some(account) = &run.ask.account else {
+        let Some(account) = &run.request.account else {
             return;
         };
-        let units = factor * f64::from(run.ask.quota_units);
+        let units = factor * f64::from(run.request.quota_units);
         let mut spending = self.spending.borrow_mut();
-        spending.spent(now, account, &run.owner.0, units);
+        spending.record(now, account, &run.owner.0, units);
     }
 
     pub(crate) fn count(&self) -> usize {
@@ -70,16 +71,16 @@
         now: MonotonicTime,
         service: &str,
         owner: &(NodeName, u64),
-    ) -> Vec<RunningRun> {
+    ) -> Vec<ActiveRun> {
         let mut runs = self.runs.borrow_mut();
         let moved = runs
             .values_mut()
-            .filter(|run| &*run.ask.service == service && run.owner != *owner);
+            .filter(|run| &*run.request.service == service && run.owner != *owner);
         moved
             .map(|run| {
                 run.owner = owner.clone();
-                RunningRun {
-                    ask: run.ask.clone(),
+                ActiveRun {
+                    request: run.request.clone(),
                     upstream: run.upstream.clone(),
                     running_for: now.saturating_sub(run.started_at),
                 }
--- a/crates/dragonflystep_edge/src/exchange.rs
+++ b/crates/dragonflystep_edge/src/exchange.rs
@@ -112,9 +112,9 @@
                 node.metrics.count("cuts_ended_total", "first_owner");
             }
             // Counted from the call on: what is on the way does not grow younger from node to node.
-            node.note_platform_heard(asked_at.saturating_sub(theirs.platform_heard));
-            if theirs.platform_heard <= PLATFORM_UNHEARD {
-                node.note_platform_up(asked_at.saturating_sub(theirs.platform_up));
+            node.note_platform_heard(asked_at.saturating_sub(theirs.platform_silence));
+            if theirs.platform_silence <= PLATFORM_UNHEARD {
+                node.note_platform_up(asked_at.saturating_sub(theirs.platform_up_for));
             }
             node.note_exchange();
             node.answered_by(&theirs, is_owner);
--- a/crates/dragonflystep_edge/src/job.rs
+++ b/crates/dragonflystep_edge/src/job.rs
@@ -21,7 +21,7 @@
     },
     bytes::Bytes,
     dragonflystep_dispatch::{
-        Account, Ask, Refusal, Route, RouteKind, RunOutcome, ServiceName, Tier, UpstreamId,
+        Account, Refusal, Route, RouteKind, RunOutcome, ServiceName, SlotRequest, Tier, UpstreamId,
     },
     http::{HeaderMap, Method, Request, Response, StatusCode, Uri, header},
     http_body_util::{BodyExt, Full},
@@ -146,13 +146,13 @@
     }
 
     /// What the owner is asked for the next attempt.
-    pub(crate) fn ask(&self, attempts: &Attempts) -> Ask {
+    pub(crate) fn ask(&self, attempts: &Attempts) -> SlotRequest {
         let longest_pause = match self.route.kind {
             RouteKind::Stream { longest_pause, .. } => Some(longest_pause),
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
         };
         let account = self.account.as_ref();
-        Ask {
+        SlotRequest {
             run: self.node.next_run(),
             service: self.service.clone(),
             route: self.route.name.clone(),
--- a/crates/dragonflystep_edge/src/list_fetch.rs
+++ b/crates/dragonflystep_edge/src/list_fetch.rs
@@ -7,7 +7,7 @@
         versioned_list::{Changes, ChangesError, ListEntry, VersionedList},
     },
     dragonflystep_dispatch::{MonotonicTime, NodeName},
-    dragonflystep_peer::{Digest, ListName, ListPiece, ListPieceAsk, PeerError, PeerLink},
+    dragonflystep_peer::{Digest, ListName, ListPiece, ListPieceRequest, PeerError, PeerLink},
     std::{
         cell::{Cell, RefCell},
         collections::VecDeque,
@@ -54,7 +54,7 @@
 /// Changes made ready for other nodes.
 struct Answer {
     base_version: u64,
-    leads_to: u64,
+    target_version: u64,
     bytes: Vec<u8>,
 }
 
@@ -63,7 +63,7 @@
 struct Partial {
     source: NodeName,
     base_version: u64,
-    leads_to: u64,
+    target_version: u64,
     bytes: Vec<u8>,
 }
 
@@ -99,41 +99,41 @@
 
 impl Node {
     /// A piece of what a node is missing that has a version of a list.
-    pub(crate) fn list_piece(&self, ask: ListPieceAsk) -> ListPiece {
-        let mut answers = self.list_fetches.of(ask.list).answers.borrow_mut();
-        let is_kept = |answer: &Answer, leads_to: u64| {
-            (answer.base_version, answer.leads_to) == (ask.version, leads_to)
+    pub(crate) fn list_piece(&self, request: ListPieceRequest) -> ListPiece {
+        let mut answers = self.list_fetches.of(request.list).answers.borrow_mut();
+        let is_kept = |answer: &Answer, target_version: u64| {
+            (answer.base_version, answer.target_version) == (request.version, target_version)
         };
         // A fetch that began before the last change goes on with what it began with.
         let begun = answers
             .iter()
-            .position(|answer| is_kept(answer, ask.leads_to));
-        let newest = self.with_list(ask.list, |known| known.version());
+            .position(|answer| is_kept(answer, request.target_version));
+        let newest = self.with_list(request.list, |known| known.version());
         let kept = begun.or_else(|| answers.iter().position(|answer| is_kept(answer, newest)));
         if let Some(index) = kept {
-            return answers[index].piece(ask);
+            return answers[index].piece(request);
         }
-        let Some(answer) = self.new_answer(ask.list, ask.version) else {
+        let Some(answer) = self.new_answer(request.list, request.version) else {
             return ListPiece::default();
         };
-        let piece = answer.piece(ask);
+        let piece = answer.piece(request);
         answers.truncate(LIST_ANSWERS_KEPT - 1);
         answers.push_front(answer);
         piece
     }
 
     fn new_answer(&self, list: ListName, base_version: u64) -> Option<Answer> {
-        let (encoded, leads_to) = self.with_list(list, |known| {
+        let (encoded, target_version) = self.with_list(list, |known| {
             (known.encoded_since(base_version), known.version())
         });
         match encoded? {
             Ok(bytes) => Some(Answer {
                 base_version,
-                leads_to,
+                target_version,
                 bytes,
             }),
             Err(error) => {
-                log::error!(list = list_label(list), version = leads_to, error:%; "a list can't be written for another node");
+                log::error!(list = list_label(list), version = target_version, error:%; "a list can't be written for another node");
                 None
             }
         }
@@ -205,17 +205,17 @@
 
 impl Answer {
     /// The piece that is asked for; the first one when the asking node began with another answer.
-    fn piece(&self, ask: ListPieceAsk) -> ListPiece {
-        let is_begun = ask.leads_to == self.leads_to;
+    fn piece(&self, request: ListPieceRequest) -> ListPiece {
+        let is_begun = request.target_version == self.target_version;
         let from = if is_begun {
-            ask.offset_bytes as usize
+            request.offset_bytes as usize
         } else {
             0
         };
         let from = from.min(self.bytes.len());
         let to = (from + LIST_PIECE_BYTES).min(self.bytes.len());
         ListPiece {
-            leads_to: self.leads_to,
+            target_version: self.target_version,
             // An answer is far below 4 GB; one that is not can't be asked for further than that.
             total_bytes: u32::try_from(self.bytes.len()).unwrap_or(u32::MAX),
             bytes: self.bytes[from..to].to_vec(),
@@ -280,8 +280,8 @@
         if piece.bytes.is_empty() {
             return Ok(());
         }
-        if piece.leads_to != partial.leads_to {
-            partial.leads_to = piece.leads_to;
+        if piece.target_version != partial.target_version {
+            partial.target_version = piece.target_version;
             partial.bytes.clear();
         }
         let bytes = piece.bytes.len() as u64;
@@ -294,7 +294,7 @@
         }
     }
     let took_ms = node.owner.now().saturating_sub(began_at).as_millis() as u64;
-    log::info!(peer:% = source, list = list_label(list), base_version, version = partial.leads_to, bytes = partial.bytes.len(), took_ms; "list fetched");
+    log::info!(peer:% = source, list = list_label(list), base_version, version = partial.target_version, bytes = partial.bytes.len(), took_ms; "list fetched");
     if let Err(error) = node.learn_fetched(list, &partial.bytes, source) {
         log::warn!(peer:% = source, list = list_label(list), error:%; "a fetched list is not understood");
     }
@@ -307,15 +307,15 @@
     list: ListName,
     partial: &Partial,
 ) -> Result<ListPiece, PeerError> {
-    let ask = ListPieceAsk {
+    let request = ListPieceRequest {
         list,
         version: partial.base_version,
-        leads_to: partial.leads_to,
+        target_version: partial.target_version,
         offset_bytes: partial.bytes.len() as u32,
     };
     let mut tries = 1;
     loop {
-        let piece = link.list_since(ask, LIST_PIECE_TIMEOUT).await;
+        let piece = link.fetch_list_piece(request, LIST_PIECE_TIMEOUT).await;
         match piece {
             Err(error) if tries < LIST_PIECE_TRIES => {
                 log::debug!(error:%; "a piece of a list is asked for again");
--- a/crates/dragonflystep_edge/src/members.rs
+++ b/crates/dragonflystep_edge/src/members.rs
@@ -193,7 +193,7 @@
     pub(crate) fn transfer_link(&self, node: &str) -> Option<PeerLink> {
         let others = self.others.borrow();
         let address = others.get(node).map(|other| other.record.peers.clone())?;
-        Some(PeerLink::over(self.network.clone(), address))
+        Some(PeerLink::with_network(self.network.clone(), address))
     }
 
     /// The first `most` nodes by rank for `key`; nodes that are not seen or are leaving have no rank.
@@ -296,7 +296,7 @@
 impl Other {
     fn new(record: MemberRecord, network: Rc<dyn PeerNetwork>) -> Self {
         Self {
-            link: Rc::new(PeerLink::over(network, record.peers.clone())),
+            link: Rc::new(PeerLink::with_network(network, record.peers.clone())),
             record,
             failed_since: None,
             is_tried: false,
--- a/crates/dragonflystep_edge/src/node.rs
+++ b/crates/dragonflystep_edge/src/node.rs
@@ -25,7 +25,8 @@
         views::Views,
     },
     dragonflystep_dispatch::{
-        Event, MonotonicTime, NodeName, NodeStart, Reach, RunId, Upstream, UpstreamPhase, run_id,
+        Event, MonotonicTime, NodeIncarnation, NodeName, RunId, Upstream, UpstreamPhase,
+        Visibility, run_id,
     },
     dragonflystep_peer::PeerNetwork,
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -158,8 +159,8 @@
     }
 
     /// How much of the system this node sees.
-    pub fn reach(&self) -> Reach {
-        self.owner.reach()
+    pub fn visibility(&self) -> Visibility {
+        self.owner.visibility()
     }
 
     /// The node that this one asks for places.
@@ -169,7 +170,7 @@
 
     /// Whether this node sees most of the nodes that may be running.
     pub fn sees_majority(&self) -> bool {
-        self.owner.reach().is_majority()
+        self.owner.visibility().is_majority()
     }
 
     /// Nodes that are listed, this one included.
@@ -300,7 +301,7 @@
         if is_news {
             let (version, nodes) = (self.members.version(), self.members.listed_count());
             log::info!(source, version, before, nodes; "list of nodes in force");
-            self.owner.apply(Event::NodesListed(nodes));
+            self.owner.apply(Event::NodeCountChanged(nodes));
             self.update_reach();
         }
     }
@@ -316,12 +317,12 @@
     pub fn next_run(&self) -> RunId {
         let number = self.runs_started.get().wrapping_add(1);
         self.runs_started.set(number);
-        run_id(self.node_start(), number)
+        run_id(self.node_incarnation(), number)
     }
 
     /// This start of the node, as its runs name it.
-    pub(crate) fn node_start(&self) -> NodeStart {
-        self.incarnation as NodeStart
+    pub(crate) fn node_incarnation(&self) -> NodeIncarnation {
+        self.incarnation as NodeIncarnation
     }
 
     /// The first `most` nodes in the order in which they own the services.
--- a/crates/dragonflystep_edge/src/node/digest.rs
+++ b/crates/dragonflystep_edge/src/node/digest.rs
@@ -19,8 +19,8 @@
             registry_version: self.views.registry_list().announced_version(),
             is_leaving: self.stop.is_stopping(),
             members_version: self.members.list().announced_version(),
-            platform_heard: self.platform_silence(),
-            platform_up: self.platform_up_for(),
+            platform_silence: self.platform_silence(),
+            platform_up_for: self.platform_up_for(),
             rollouts: self.encoded_rollouts(),
             ..Digest::default()
         }
--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -11,7 +11,7 @@
         PLATFORM_UNHEARD, PLATFORM_UP, PREFERRED_OWNERS, SHORTEST_HEARING, SMALL_SYSTEM_NODES,
         UNHEARD_FOLLOWERS_FACTOR,
     },
-    dragonflystep_dispatch::{MonotonicTime, NodeName, Reach},
+    dragonflystep_dispatch::{MonotonicTime, NodeName, Visibility},
     std::time::Duration,
 };
 
@@ -140,7 +140,7 @@
         } else {
             1
         };
-        if let Some(before) = self.owner.set_reach(Reach { visible, known }) {
+        if let Some(before) = self.owner.set_visibility(Visibility { visible, known }) {
             let change = if visible < before.visible {
                 "fewer"
             } else {
@@ -160,6 +160,6 @@
         let share_of_time = now.as_secs_f64() / HEARD_RECENTLY.as_secs_f64();
         let expected = heard as f64 / share_of_time.clamp(SHORTEST_HEARING, 1.0);
         let visible = (expected as usize).min(known);
-        self.owner.set_heard(Reach { visible, known });
+        self.owner.set_heard(Visibility { visible, known });
     }
 }
--- a/crates/dragonflystep_edge/src/owner.rs
+++ b/crates/dragonflystep_edge/src/owner.rs
@@ -6,9 +6,9 @@
         rollouts::Rollouts,
     },
     dragonflystep_dispatch::{
-        Ask, Dispatcher, Effect, Ended, Event, Grant, MonotonicTime, NodeStart, PoolSummary, Reach,
-        RefusalReason, RunId, RunOutcome, RunningRun, ServiceName, SharedLimits, UpstreamId,
-        UpstreamNotice, Verdict,
+        ActiveRun, Dispatcher, Effect, Event, Grant, MonotonicTime, NodeIncarnation, PoolSummary,
+        RefusalReason, RunId, RunOutcome, RunReport, ServiceName, SharedLimits, SlotDecision,
+        SlotRequest, UpstreamId, UpstreamNotice, Visibility,
     },
     std::{
         cell::{Cell, RefCell},
@@ -27,10 +27,10 @@
 pub(crate) struct Owner {
     started: Instant,
     dispatcher: RefCell<Dispatcher>,
-    waiting: RefCell<HashMap<RunId, oneshot::Sender<Verdict>>>,
-    reach: Cell<Reach>,
+    waiting: RefCell<HashMap<RunId, oneshot::Sender<SlotDecision>>>,
+    visibility: Cell<Visibility>,
     /// The nodes that were heard lately.
-    heard: Cell<Reach>,
+    heard: Cell<Visibility>,
     something_waits: Notify,
     rollouts: Rc<Rollouts>,
 }
@@ -41,11 +41,11 @@
             started: Instant::now(),
             dispatcher: RefCell::new(Dispatcher::new(limits)),
             waiting: RefCell::default(),
-            reach: Cell::new(Reach {
+            visibility: Cell::new(Visibility {
                 visible: 1,
                 known: 1,
             }),
-            heard: Cell::new(Reach {
+            heard: Cell::new(Visibility {
                 visible: 1,
                 known: 1,
             }),
@@ -80,30 +80,30 @@
         }
     }
 
-    pub(crate) fn reach(&self) -> Reach {
-        self.reach.get()
+    pub(crate) fn visibility(&self) -> Visibility {
+        self.visibility.get()
     }
 
     /// Notes how much of the system this node sees; says what it saw before if that changed.
     ///
     /// A line is logged where it comes to see most of the nodes, or no longer does: when a cut between hundreds of nodes
     /// ends, each of them sees another number of them several times a second.
-    pub(crate) fn set_reach(&self, reach: Reach) -> Option<Reach> {
-        let before = self.reach.replace(reach);
-        if before == reach {
+    pub(crate) fn set_visibility(&self, visibility: Visibility) -> Option<Visibility> {
+        let before = self.visibility.replace(visibility);
+        if before == visibility {
             return None;
         }
-        if before.is_majority() != reach.is_majority() {
-            log::info!(visible = reach.visible, known = reach.known, is_majority = reach.is_majority(); "majority changed");
+        if before.is_majority() != visibility.is_majority() {
+            log::info!(visible = visibility.visible, known = visibility.known, is_majority = visibility.is_majority(); "majority changed");
         }
-        self.apply(Event::ReachChanged(reach));
+        self.apply(Event::VisibilityChanged(visibility));
         Some(before)
     }
 
     /// Notes how many of the nodes were heard lately.
-    pub(crate) fn set_heard(&self, heard: Reach) {
+    pub(crate) fn set_heard(&self, heard: Visibility) {
         if self.heard.replace(heard) != heard {
-            self.apply(Event::HeardChanged(heard));
+            self.apply(Event::RecentContactsChanged(heard));
         }
     }
 
@@ -128,44 +128,44 @@
     }
 
     /// Whether an upstream wants no requests of a node now.
-    pub(crate) fn is_resting_for(&self, upstream: &UpstreamId, node: NodeStart) -> bool {
+    pub(crate) fn wants_back_off_from(&self, upstream: &UpstreamId, node: NodeIncarnation) -> bool {
         let dispatcher = self.dispatcher.borrow();
-        dispatcher.is_resting_for(self.now(), upstream, node)
+        dispatcher.wants_back_off_from(self.now(), upstream, node)
     }
 
     /// Asks for a place and waits for the verdict; dropping the future withdraws the request.
-    pub(crate) async fn ask(self: Rc<Self>, ask: Ask) -> Verdict {
+    pub(crate) async fn ask(self: Rc<Self>, request: SlotRequest) -> SlotDecision {
         let (sender, receiver) = oneshot::channel();
         let mut guard = AskGuard {
             owner: self.clone(),
-            service: ask.service.clone(),
-            run: ask.run,
+            service: request.service.clone(),
+            run: request.run,
             is_armed: true,
         };
-        self.waiting.borrow_mut().insert(ask.run, sender);
-        self.apply(Event::Asked(ask));
+        self.waiting.borrow_mut().insert(request.run, sender);
+        self.apply(Event::SlotRequested(request));
         if self.waiting_count() > 0 {
             self.something_waits.notify_one();
         }
-        let verdict = receiver.await;
+        let decision = receiver.await;
         guard.is_armed = false;
         // The sender lives in the map until a verdict is sent.
-        verdict.unwrap_or(Verdict::Refused(dragonflystep_dispatch::Refusal {
+        decision.unwrap_or(SlotDecision::Refused(dragonflystep_dispatch::Refusal {
             reason: RefusalReason::NoUpstream,
             retry_after: Duration::from_millis(200),
         }))
     }
 
     /// Notes the end of a run, or of the wait for a place.
-    pub(crate) fn ended(&self, ended: Ended) {
+    pub(crate) fn ended(&self, ended: RunReport) {
         if self.waiting.borrow_mut().remove(&ended.run).is_some() {
-            self.apply(Event::Withdrawn(ended.service.clone(), ended.run));
+            self.apply(Event::RequestWithdrawn(ended.service.clone(), ended.run));
         }
-        self.apply(Event::Ended(ended));
+        self.apply(Event::RunEnded(ended));
     }
 
-    pub(crate) fn adopt(&self, run: RunningRun) {
-        self.apply(Event::Adopted(run));
+    pub(crate) fn adopt(&self, run: ActiveRun) {
+        self.apply(Event::RunAdopted(run));
     }
 
     /// Lets time pass for the dispatcher for as long as the node runs.
@@ -198,7 +198,7 @@
         let Some(sender) = self.waiting.borrow_mut().remove(&effect.run) else {
             return;
         };
-        if let Err(Verdict::Granted(grant)) = sender.send(effect.verdict) {
+        if let Err(SlotDecision::Granted(grant)) = sender.send(effect.decision) {
             // The one who asked is dropped at this moment; its guard frees the place.
             let Grant { upstream, .. } = grant;
             log::debug!(run = effect.run, upstream:%; "a place came too late");
@@ -245,8 +245,8 @@
 }
 
 /// The end of a run that says nothing about its upstream.
-pub(crate) fn cancelled(service: ServiceName, run: RunId) -> Ended {
-    Ended {
+pub(crate) fn cancelled(service: ServiceName, run: RunId) -> RunReport {
+    RunReport {
         run,
         service,
         outcome: RunOutcome::Cancelled,
--- a/crates/dragonflystep_edge/src/peer_service.rs
+++ b/crates/dragonflystep_edge/src/peer_service.rs
@@ -3,11 +3,12 @@
 use {
     crate::{exchange::exchange_with, list_fetch::fetch_if_newer, node::Node, owner::cancelled},
     dragonflystep_dispatch::{
-        Ask, Ended, Event, NodeName, RunId, RunningRun, ServiceName, SpendingReport, UpstreamLoad,
-        UpstreamNotice, Verdict,
+        ActiveRun, Event, NodeName, RunId, RunReport, ServiceName, SlotDecision, SlotRequest,
+        UpstreamLoad, UpstreamNotice, UsageReport,
     },
     dragonflystep_peer::{
-        Digest, ListPiece, ListPieceAsk, PeerHandler, PeerListener, VerdictFuture, serve_peer,
+        Digest, ListPiece, ListPieceRequest, PeerHandler, PeerListener, SlotDecisionFuture,
+        serve_peer,
     },
     std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration},
     tokio::{task::spawn_local, time::sleep},
@@ -64,49 +65,49 @@
 }
 
 impl PeerHandler for PeerSession {
-    fn ask(&self, ask: Ask) -> VerdictFuture {
+    fn request_slot(&self, request: SlotRequest) -> SlotDecisionFuture {
         self.note_asked();
-        let (run, service) = (ask.run, ask.service.clone());
+        let (run, service) = (request.run, request.service.clone());
         let runs = self.runs.clone();
-        let verdict = self.node.owner.clone().ask(ask);
+        let decision = self.node.owner.clone().ask(request);
         Box::pin(async move {
-            let verdict = verdict.await;
-            if matches!(verdict, Verdict::Granted(_)) {
+            let decision = decision.await;
+            if matches!(decision, SlotDecision::Granted(_)) {
                 runs.borrow_mut().insert(run, service);
             }
-            verdict
+            decision
         })
     }
 
-    fn ended(&self, ended: Ended) {
+    fn report_run_end(&self, ended: RunReport) {
         self.runs.borrow_mut().remove(&ended.run);
         self.node.owner.ended(ended);
     }
 
-    fn adopt(&self, runs: Vec<RunningRun>) {
+    fn adopt_runs(&self, runs: Vec<ActiveRun>) {
         for run in runs {
-            let service = run.ask.service.clone();
-            self.runs.borrow_mut().insert(run.ask.run, service);
+            let service = run.request.service.clone();
+            self.runs.borrow_mut().insert(run.request.run, service);
             self.node.owner.adopt(run);
         }
     }
 
-    fn spent(&self, report: SpendingReport) {
+    fn report_usage(&self, report: UsageReport) {
         self.note_peer(&report.node);
-        self.node.owner.apply(Event::SpendingReported(report));
+        self.node.owner.apply(Event::UsageReported(report));
     }
 
-    fn load_observed(&self, load: UpstreamLoad) {
+    fn report_load(&self, load: UpstreamLoad) {
         self.node.owner.apply(Event::LoadObserved(load));
     }
 
-    fn noticed(&self, notices: Vec<UpstreamNotice>) {
+    fn share_notices(&self, notices: Vec<UpstreamNotice>) {
         let peer = self.peer.borrow().clone().unwrap_or_default();
         self.node.learn_notices(notices, &peer);
     }
 
-    fn list_since(&self, ask: ListPieceAsk) -> ListPiece {
-        self.node.list_piece(ask)
+    fn fetch_list_piece(&self, request: ListPieceRequest) -> ListPiece {
+        self.node.list_piece(request)
     }
 
     fn exchange(&self, digest: Digest) -> Digest {
--- a/crates/dragonflystep_edge/src/placing.rs
+++ b/crates/dragonflystep_edge/src/placing.rs
@@ -10,8 +10,8 @@
         upstream_notices::ObservedAnswer,
     },
     dragonflystep_dispatch::{
-        Ask, Ended, Event, Grant, NodeName, RunId, RunOutcome, UpstreamLoad, UpstreamNotice,
-        Verdict,
+        Event, Grant, NodeName, RunId, RunOutcome, RunReport, SlotDecision, SlotRequest,
+        UpstreamLoad, UpstreamNotice,
     },
     dragonflystep_peer::{PeerError, PeerLink},
     std::{rc::Rc, time::Duration},
@@ -77,7 +77,9 @@
     /// Whether the upstream takes requests of this node, by what it said of itself.
     pub(crate) fn is_wanted(&self) -> bool {
         let (node, upstream) = (&self.node, &self.grant.upstream);
-        let is_resting = node.owner.is_resting_for(upstream, node.node_start());
+        let is_resting = node
+            .owner
+            .wants_back_off_from(upstream, node.node_incarnation());
         !is_resting && !node.owner.is_leaving(upstream)
     }
 
@@ -106,7 +108,7 @@
             return;
         };
         spawn_local(async move {
-            if let Err(error) = link.load_observed(&load).await {
+            if let Err(error) = link.report_load(&load).await {
                 log::debug!(error:%; "an owner was not told of a load");
             }
         });
@@ -134,7 +136,7 @@
         if !outcome.has_run() {
             runs.note_spent(self.node.owner.now(), &run, -1.0);
         }
-        let ended = Ended {
+        let ended = RunReport {
             run: self.run,
             service: self.service.clone(),
             outcome,
@@ -160,10 +162,10 @@
 /// When the owner refuses the request; it has not run.
 pub async fn obtain(
     node: &Rc<Node>,
-    mut ask: Ask,
+    mut request: SlotRequest,
 ) -> Result<Place, dragonflystep_dispatch::Refusal> {
     let started = Instant::now();
-    let (objective_left, time_left) = (ask.objective_left, ask.time_left);
+    let (objective_left, time_left) = (request.objective_left, request.time_left);
     let ranked = node.ranked_owners(MOST_OWNERS_ASKED + 1);
     node.note_owner(ranked.first());
     let mut asked = 0;
@@ -175,45 +177,45 @@
             continue;
         };
         asked += 1;
-        ask.objective_left = objective_left.saturating_sub(started.elapsed());
-        ask.time_left = time_left.saturating_sub(started.elapsed());
-        match ask_owner(node, &owner, &link, &ask).await {
-            Ok(verdict) => return place(node, ask, (owner, link.generation()), verdict),
+        request.objective_left = objective_left.saturating_sub(started.elapsed());
+        request.time_left = time_left.saturating_sub(started.elapsed());
+        match ask_owner(node, &owner, &link, &request).await {
+            Ok(decision) => return place(node, request, (owner, link.generation()), decision),
             Err(error) => node.members.failed(node.owner.now(), &owner, &error),
         }
     }
-    ask.objective_left = objective_left.saturating_sub(started.elapsed());
-    ask.time_left = time_left.saturating_sub(started.elapsed());
+    request.objective_left = objective_left.saturating_sub(started.elapsed());
+    request.time_left = time_left.saturating_sub(started.elapsed());
     let owner = (node.settings.node.clone(), 0);
     node.update_heard();
     let now = node.owner.now();
-    for run in node.entry_runs.move_to(now, &ask.service, &owner) {
+    for run in node.entry_runs.move_to(now, &request.service, &owner) {
         node.owner.adopt(run);
     }
     if let Some(report) = node
         .entry_runs
         .spending_for(now, &node.settings.node, &owner)
     {
-        node.owner.apply(Event::SpendingReported(report));
+        node.owner.apply(Event::UsageReported(report));
     }
-    let verdict = node.owner.clone().ask(ask.clone()).await;
-    place(node, ask, owner, verdict)
+    let decision = node.owner.clone().ask(request.clone()).await;
+    place(node, request, owner, decision)
 }
 
 fn place(
     node: &Rc<Node>,
-    ask: Ask,
+    request: SlotRequest,
     owner: (NodeName, u64),
-    verdict: Verdict,
+    decision: SlotDecision,
 ) -> Result<Place, dragonflystep_dispatch::Refusal> {
-    let grant = match verdict {
-        Verdict::Granted(grant) => grant,
-        Verdict::Refused(refusal) => return Err(refusal),
+    let grant = match decision {
+        SlotDecision::Granted(grant) => grant,
+        SlotDecision::Refused(refusal) => return Err(refusal),
     };
     let place = Place {
         node: node.clone(),
-        run: ask.run,
-        service: ask.service.clone(),
+        run: request.run,
+        service: request.service.clone(),
         started: Instant::now(),
         is_ended: false,
         grant,
@@ -222,7 +224,7 @@
         upstream: place.grant.upstream.clone(),
         started_at: node.owner.now(),
         owner,
-        ask,
+        request,
     };
     let runs = &node.entry_runs;
     runs.note_spent(node.owner.now(), &run, 1.0);
@@ -235,24 +237,24 @@
     node: &Rc<Node>,
     owner: &NodeName,
     link: &Rc<PeerLink>,
-    ask: &Ask,
-) -> Result<Verdict, PeerError> {
+    request: &SlotRequest,
+) -> Result<SlotDecision, PeerError> {
     link.open().await?;
-    tell_new_owner(node, owner, link, ask).await;
+    tell_new_owner(node, owner, link, request).await;
     let mut guard = WithdrawGuard {
         node,
         owner,
-        ask,
+        request,
         is_armed: true,
     };
-    let verdict = link.ask(ask);
-    tokio::pin!(verdict);
+    let decision = link.request_slot(request);
+    tokio::pin!(decision);
     loop {
         tokio::select! {
             biased;
-            verdict = &mut verdict => {
+            decision = &mut decision => {
                 guard.is_armed = false;
-                return verdict;
+                return decision;
             }
             () = sleep(OWNER_SILENCE) => {}
         }
@@ -269,10 +271,15 @@
 /// Reports this entry's runs and what accounts spent through it to an owner, unless it was done.
 ///
 /// Messages of one connection arrive in order, so that the owner counts these before the next request.
-async fn tell_new_owner(node: &Rc<Node>, owner: &NodeName, link: &Rc<PeerLink>, ask: &Ask) {
+async fn tell_new_owner(
+    node: &Rc<Node>,
+    owner: &NodeName,
+    link: &Rc<PeerLink>,
+    request: &SlotRequest,
+) {
     let now = node.owner.now();
     let counted_by = (owner.clone(), link.generation());
-    let moved = node.entry_runs.move_to(now, &ask.service, &counted_by);
+    let moved = node.entry_runs.move_to(now, &request.service, &counted_by);
     let spending = node
         .entry_runs
         .spending_for(now, &node.settings.node, &counted_by);
@@ -286,7 +293,7 @@
         }
         let link = link.clone();
         spawn_local(async move {
-            if let Err(error) = link.spent(&report).await {
+            if let Err(error) = link.report_usage(&report).await {
                 log::debug!(error:%; "a new owner was not told of what accounts spent");
             }
         });
@@ -294,7 +301,7 @@
     if !moved.is_empty() {
         let link = link.clone();
         spawn_local(async move {
-            if let Err(error) = link.adopt(&moved).await {
+            if let Err(error) = link.adopt_runs(&moved).await {
                 log::debug!(error:%; "a new owner was not told of runs");
             }
         });
@@ -304,7 +311,7 @@
 
 /// Tells an owner what upstreams said of themselves.
 async fn tell_notices(link: Rc<PeerLink>, notices: Vec<UpstreamNotice>) {
-    if let Err(error) = link.noticed(&notices).await {
+    if let Err(error) = link.share_notices(&notices).await {
         log::debug!(error:%; "an owner was not told what upstreams said of themselves");
     }
 }
@@ -313,20 +320,20 @@
 struct WithdrawGuard<'a> {
     node: &'a Rc<Node>,
     owner: &'a NodeName,
-    ask: &'a Ask,
+    request: &'a SlotRequest,
     is_armed: bool,
 }
 
 impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            let ended = cancelled(self.ask.service.clone(), self.ask.run);
+            let ended = cancelled(self.request.service.clone(), self.request.run);
             tell_ended(self.node, self.owner, ended);
         }
     }
 }
 
-fn tell_ended(node: &Rc<Node>, owner: &NodeName, ended: Ended) {
+fn tell_ended(node: &Rc<Node>, owner: &NodeName, ended: RunReport) {
     if *owner == node.settings.node {
         node.owner.ended(ended);
         return;
@@ -335,7 +342,7 @@
         return;
     };
     spawn_local(async move {
-        if let Err(error) = link.ended(&ended).await {
+        if let Err(error) = link.report_run_end(&ended).await {
             // The owner frees the place when it sees the connection's end.
             log::debug!(run = ended.run, error:%; "an owner was not told of a run's end");
         }
--- a/crates/dragonflystep_edge/src/server.rs
+++ b/crates/dragonflystep_edge/src/server.rs
@@ -9,7 +9,7 @@
     },
     bytes::Bytes,
     dragonflystep_dispatch::ClientLimits,
-    dragonflystep_peer::{SilenceLimits, prepare_stream},
+    dragonflystep_peer::{KeepaliveLimits, configure_stream},
     http::{HeaderValue, Request, Response, StatusCode, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     std::{
@@ -57,7 +57,7 @@
             node.metrics.count("connections_refused_total", "too_many");
             continue;
         }
-        if let Err(error) = prepare_stream(&stream, SilenceLimits::default()) {
+        if let Err(error) = configure_stream(&stream, KeepaliveLimits::default()) {
             log::debug!(error:%; "a connection ended at once");
             continue;
         }
--- a/crates/dragonflystep_edge/src/upstream_connections.rs
+++ b/crates/dragonflystep_edge/src/upstream_connections.rs
@@ -5,7 +5,7 @@
         DEFAULT_KEEP_ALIVE, KEPT_CONNECTION_SHARE, MOST_IDLE_CONNECTIONS, UPSTREAM_CONNECT_TIMEOUT,
     },
     bytes::Bytes,
-    dragonflystep_peer::{SilenceLimits, prepare_stream},
+    dragonflystep_peer::{KeepaliveLimits, configure_stream},
     http::{Request, Response},
     http_body_util::Full,
     hyper::{
@@ -143,7 +143,7 @@
     let stream = timeout(UPSTREAM_CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    prepare_stream(&stream, SilenceLimits::default())?;
+    configure_stream(&stream, KeepaliveLimits::default())?;
     let (sender, connection) = Builder::new()
         .title_case_headers(true)
         .handshake(TokioIo::new(stream))
--- a/crates/dragonflystep_edge/src/upstream_notices.rs
+++ b/crates/dragonflystep_edge/src/upstream_notices.rs
@@ -103,10 +103,10 @@
 
     fn read_rest(&self, answer: &ObservedAnswer<'_>) -> Option<(NoticeKind, Duration)> {
         match &answer.facts.rest {
-            Stated::Value(lasts) => {
+            Stated::Value(duration) => {
                 self.metrics.count("upstream_notices_total", "rest");
-                let (node, lasts) = (self.node_start(), *lasts);
-                Some((NoticeKind::Resting { node, lasts }, Duration::ZERO))
+                let (node, duration) = (self.node_incarnation(), *duration);
+                Some((NoticeKind::BackOff { node, duration }, Duration::ZERO))
             }
             Stated::Unreadable(text) => {
                 self.note_unreadable(answer, "rest", text);
@@ -120,11 +120,11 @@
         let upstream = &notice.upstream;
         let limit_before = self.owner.rate_limit(upstream);
         let was_leaving = self.owner.is_leaving(upstream);
-        self.owner.apply(Event::Noticed(notice.clone()));
-        if let NoticeKind::Resting { node, lasts } = notice.kind
+        self.owner.apply(Event::NoticeReceived(notice.clone()));
+        if let NoticeKind::BackOff { node, duration } = notice.kind
             && source == OWN_ANSWER
         {
-            let rest_ms = lasts.as_millis() as u64;
+            let rest_ms = duration.as_millis() as u64;
             log::info!(request = request_id, upstream:%, node_start = node, rest_ms; "upstream wants rest");
         }
         if !was_leaving && self.owner.is_leaving(upstream) {
--- a/crates/dragonflystep_peer/src/codec.rs
+++ b/crates/dragonflystep_peer/src/codec.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Digest, ListName, ListPiece, ListPieceAsk, PeerError,
+        Digest, ListName, ListPiece, ListPieceRequest, PeerError,
         notice_codec::{decode_notices, encode_notices},
         peer_capnp::{
             self, account_spending, ask, digest, ended, list_piece, list_piece_ask, running_run,
@@ -11,14 +11,14 @@
         to_us,
     },
     dragonflystep_dispatch::{
-        AccountSpending, Ask, Ended, Grant, PromptPart, Refusal, RefusalReason, RunOutcome,
-        RunningRun, SpendingReport, SpentSlice, UpstreamLoad, Verdict, WorkSize,
+        AccountUsage, ActiveRun, Grant, PromptSegment, Refusal, RefusalReason, RunOutcome,
+        RunReport, SlotDecision, SlotRequest, UpstreamLoad, UsageReport, UsageSlice, WorkSize,
     },
     std::{sync::Arc, time::Duration},
 };
 
 /// Writes a request for a place.
-pub(crate) fn encode_ask(ask: &Ask, mut out: ask::Builder<'_>) {
+pub(crate) fn encode_slot_request(ask: &SlotRequest, mut out: ask::Builder<'_>) {
     out.set_run(ask.run);
     out.set_service(&*ask.service);
     out.set_route(&*ask.route);
@@ -30,9 +30,9 @@
     out.set_longest_pause_us(ask.longest_pause.map_or(0, to_us));
     out.set_prompt_tokens(ask.size.prompt_tokens);
     out.set_output_tokens(ask.size.output_tokens);
-    let mut parts = out.reborrow().init_parts(ask.size.parts.len() as u32);
-    for (index, part) in ask.size.parts.iter().enumerate() {
-        let mut slot = parts.reborrow().get(index as u32);
+    let mut segments = out.reborrow().init_parts(ask.size.segments.len() as u32);
+    for (index, part) in ask.size.segments.iter().enumerate() {
+        let mut slot = segments.reborrow().get(index as u32);
         slot.set_id(part.id);
         slot.set_tokens(part.tokens);
     }
@@ -46,14 +46,14 @@
 }
 
 /// Reads a request for a place.
-pub(crate) fn decode_ask(input: ask::Reader<'_>) -> Result<Ask, PeerError> {
+pub(crate) fn decode_slot_request(input: ask::Reader<'_>) -> Result<SlotRequest, PeerError> {
     let account = input.get_account()?.to_str()?;
     let pause_us = input.get_longest_pause_us();
-    let parts = input.get_parts()?.iter().map(|part| PromptPart {
+    let segments = input.get_parts()?.iter().map(|part| PromptSegment {
         id: part.get_id(),
         tokens: part.get_tokens(),
     });
-    Ok(Ask {
+    Ok(SlotRequest {
         run: input.get_run(),
         service: input.get_service()?.to_str()?.into(),
         route: input.get_route()?.to_str()?.into(),
@@ -66,7 +66,7 @@
         size: WorkSize {
             prompt_tokens: input.get_prompt_tokens(),
             output_tokens: input.get_output_tokens(),
-            parts: parts.collect(),
+            segments: segments.collect(),
         },
         attempt: input.get_attempt(),
         avoid: decode_texts(input.get_avoid()?)?,
@@ -84,14 +84,14 @@
 }
 
 /// Writes a verdict.
-pub(crate) fn encode_verdict(verdict: &Verdict, out: verdict::Builder<'_>) {
+pub(crate) fn encode_slot_decision(verdict: &SlotDecision, out: verdict::Builder<'_>) {
     match verdict {
-        Verdict::Granted(grant) => {
+        SlotDecision::Granted(grant) => {
             let mut granted = out.init_granted();
             granted.set_upstream(&*grant.upstream);
             granted.set_address(&*grant.address);
         }
-        Verdict::Refused(refusal) => {
+        SlotDecision::Refused(refusal) => {
             let mut refused = out.init_refused();
             refused.set_reason(encode_reason(refusal.reason));
             refused.set_retry_after_us(to_us(refusal.retry_after));
@@ -100,13 +100,13 @@
 }
 
 /// Reads a verdict.
-pub(crate) fn decode_verdict(input: verdict::Reader<'_>) -> Result<Verdict, PeerError> {
+pub(crate) fn decode_slot_decision(input: verdict::Reader<'_>) -> Result<SlotDecision, PeerError> {
     Ok(match input.which()? {
-        verdict::Which::Granted(granted) => Verdict::Granted(Grant {
+        verdict::Which::Granted(granted) => SlotDecision::Granted(Grant {
             upstream: granted.get_upstream()?.to_str()?.into(),
             address: granted.get_address()?.to_str()?.to_owned(),
         }),
-        verdict::Which::Refused(refused) => Verdict::Refused(Refusal {
+        verdict::Which::Refused(refused) => SlotDecision::Refused(Refusal {
             reason: decode_reason(refused.get_reason()?),
             retry_after: Duration::from_micros(refused.get_retry_after_us()),
         }),
@@ -134,7 +134,7 @@
 }
 
 /// Writes the end of a run.
-pub(crate) fn encode_ended(ended: &Ended, mut out: ended::Builder<'_>) {
+pub(crate) fn encode_run_report(ended: &RunReport, mut out: ended::Builder<'_>) {
     out.set_run(ended.run);
     out.set_service(&*ended.service);
     out.set_outcome(encode_outcome(ended.outcome));
@@ -145,9 +145,9 @@
 }
 
 /// Reads the end of a run.
-pub(crate) fn decode_ended(input: ended::Reader<'_>) -> Result<Ended, PeerError> {
+pub(crate) fn decode_run_report(input: ended::Reader<'_>) -> Result<RunReport, PeerError> {
     let to_first_event = Duration::from_micros(input.get_to_first_event_us());
-    Ok(Ended {
+    Ok(RunReport {
         run: input.get_run(),
         service: input.get_service()?.to_str()?.into(),
         outcome: decode_outcome(input.get_outcome()?),
@@ -183,15 +183,15 @@
     }
 }
 
-pub(crate) fn encode_running(running: &RunningRun, mut out: running_run::Builder<'_>) {
-    encode_ask(&running.ask, out.reborrow().init_ask());
+pub(crate) fn encode_active_run(running: &ActiveRun, mut out: running_run::Builder<'_>) {
+    encode_slot_request(&running.request, out.reborrow().init_ask());
     out.set_upstream(&*running.upstream);
     out.set_running_for_us(to_us(running.running_for));
 }
 
-pub(crate) fn decode_running(input: running_run::Reader<'_>) -> Result<RunningRun, PeerError> {
-    Ok(RunningRun {
-        ask: decode_ask(input.get_ask()?)?,
+pub(crate) fn decode_active_run(input: running_run::Reader<'_>) -> Result<ActiveRun, PeerError> {
+    Ok(ActiveRun {
+        request: decode_slot_request(input.get_ask()?)?,
         upstream: input.get_upstream()?.to_str()?.into(),
         running_for: Duration::from_micros(input.get_running_for_us()),
     })
@@ -214,7 +214,7 @@
 }
 
 /// Writes what accounts spent through an entry.
-pub(crate) fn encode_spending(report: &SpendingReport, mut out: spending_report::Builder<'_>) {
+pub(crate) fn encode_usage(report: &UsageReport, mut out: spending_report::Builder<'_>) {
     out.set_node(&*report.node);
     out.set_covers_us(to_us(report.covers));
     let mut accounts = out.init_accounts(report.accounts.len() as u32);
@@ -223,7 +223,7 @@
     }
 }
 
-fn encode_account(spending: &AccountSpending, mut out: account_spending::Builder<'_>) {
+fn encode_account(spending: &AccountUsage, mut out: account_spending::Builder<'_>) {
     out.set_account(&*spending.account);
     let mut slices = out.init_slices(spending.slices.len() as u32);
     for (index, slice) in spending.slices.iter().enumerate() {
@@ -235,64 +235,65 @@
 }
 
 /// Reads what accounts spent through an entry.
-pub(crate) fn decode_spending(
-    input: spending_report::Reader<'_>,
-) -> Result<SpendingReport, PeerError> {
+pub(crate) fn decode_usage(input: spending_report::Reader<'_>) -> Result<UsageReport, PeerError> {
     let accounts = input.get_accounts()?.iter().map(decode_account);
-    Ok(SpendingReport {
+    Ok(UsageReport {
         node: input.get_node()?.to_str()?.into(),
         covers: Duration::from_micros(input.get_covers_us()),
         accounts: accounts.collect::<Result<_, _>>()?,
     })
 }
 
-fn decode_account(input: account_spending::Reader<'_>) -> Result<AccountSpending, PeerError> {
-    let slices = input.get_slices()?.iter().map(|slice| SpentSlice {
+fn decode_account(input: account_spending::Reader<'_>) -> Result<AccountUsage, PeerError> {
+    let slices = input.get_slices()?.iter().map(|slice| UsageSlice {
         age: Duration::from_micros(slice.get_age_us()),
         units: slice.get_units(),
         units_granted_by_receiver: slice.get_units_granted_by_receiver(),
     });
-    Ok(AccountSpending {
+    Ok(AccountUsage {
         account: input.get_account()?.to_str()?.into(),
         slices: slices.collect(),
     })
 }
 
-pub(crate) fn encode_list_ask(ask: ListPieceAsk, mut out: list_piece_ask::Builder<'_>) {
+pub(crate) fn encode_list_piece_request(
+    ask: ListPieceRequest,
+    mut out: list_piece_ask::Builder<'_>,
+) {
     out.set_list(match ask.list {
         ListName::Catalogue => peer_capnp::ListName::Catalogue,
         ListName::Registry => peer_capnp::ListName::Registry,
         ListName::Members => peer_capnp::ListName::Members,
     });
     out.set_version(ask.version);
-    out.set_leads_to(ask.leads_to);
+    out.set_leads_to(ask.target_version);
     out.set_offset(ask.offset_bytes);
 }
 
-pub(crate) fn decode_list_ask(
+pub(crate) fn decode_list_piece_request(
     input: list_piece_ask::Reader<'_>,
-) -> Result<ListPieceAsk, PeerError> {
-    Ok(ListPieceAsk {
+) -> Result<ListPieceRequest, PeerError> {
+    Ok(ListPieceRequest {
         list: match input.get_list()? {
             peer_capnp::ListName::Catalogue => ListName::Catalogue,
             peer_capnp::ListName::Registry => ListName::Registry,
             peer_capnp::ListName::Members => ListName::Members,
         },
         version: input.get_version(),
-        leads_to: input.get_leads_to(),
+        target_version: input.get_leads_to(),
         offset_bytes: input.get_offset(),
     })
 }
 
 pub(crate) fn encode_list_piece(piece: &ListPiece, mut out: list_piece::Builder<'_>) {
-    out.set_leads_to(piece.leads_to);
+    out.set_leads_to(piece.target_version);
     out.set_total_bytes(piece.total_bytes);
     out.set_bytes(&piece.bytes);
 }
 
 pub(crate) fn decode_list_piece(input: list_piece::Reader<'_>) -> Result<ListPiece, PeerError> {
     Ok(ListPiece {
-        leads_to: input.get_leads_to(),
+        target_version: input.get_leads_to(),
         total_bytes: input.get_total_bytes(),
         bytes: input.get_bytes()?.to_vec(),
     })
@@ -310,8 +311,8 @@
         unavailable.set(index as u32, &**node);
     }
     out.set_is_leaving(digest.is_leaving);
-    out.set_platform_heard_us(to_us(digest.platform_heard));
-    out.set_platform_up_ms(u32::try_from(digest.platform_up.as_millis()).unwrap_or(u32::MAX));
+    out.set_platform_heard_us(to_us(digest.platform_silence));
+    out.set_platform_up_ms(u32::try_from(digest.platform_up_for.as_millis()).unwrap_or(u32::MAX));
     out.set_members_version(digest.members_version);
     out.set_members(&digest.members);
     out.set_rollouts(&digest.rollouts);
@@ -327,8 +328,8 @@
         registry: input.get_registry()?.to_vec(),
         unavailable: decode_texts(input.get_unavailable()?)?,
         is_leaving: input.get_is_leaving(),
-        platform_heard: Duration::from_micros(input.get_platform_heard_us()),
-        platform_up: Duration::from_millis(input.get_platform_up_ms().into()),
+        platform_silence: Duration::from_micros(input.get_platform_heard_us()),
+        platform_up_for: Duration::from_millis(input.get_platform_up_ms().into()),
         members_version: input.get_members_version(),
         members: input.get_members()?.to_vec(),
         rollouts: input.get_rollouts()?.to_vec(),
--- a/crates/dragonflystep_peer/src/lib.rs
+++ b/crates/dragonflystep_peer/src/lib.rs
@@ -19,8 +19,8 @@
     error::PeerError,
     link::PeerLink,
     network::{ListenerFuture, PeerListener, PeerNetwork, PeerStream, StreamFuture, TcpNetwork},
-    server::{PeerHandler, VerdictFuture, serve_peer},
-    sockets::{SilenceLimits, prepare_stream},
+    server::{PeerHandler, SlotDecisionFuture, serve_peer},
+    sockets::{KeepaliveLimits, configure_stream},
 };
 
 use {
@@ -42,13 +42,13 @@
 
 /// Asks for a piece of what a node is missing of a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListPieceAsk {
+pub struct ListPieceRequest {
     /// The list.
     pub list: ListName,
     /// Version that the asking node has; 0 asks for the whole list.
     pub version: u64,
     /// Version to which the pieces so far lead; 0 for the first one.
-    pub leads_to: u64,
+    pub target_version: u64,
     /// Bytes that the asking node has already.
     pub offset_bytes: u32,
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPiece {
     /// Version to which all pieces lead; another one than that asked for means that the pieces start anew.
-    pub leads_to: u64,
+    pub target_version: u64,
     /// Bytes of all pieces; 0 when the asking node is up to date.
     pub total_bytes: u32,
     /// The piece.
@@ -84,9 +84,9 @@
     /// Whether it is about to stop.
     pub is_leaving: bool,
     /// Time since the platform answered it, or a node that told it so.
-    pub platform_heard: Duration,
+    pub platform_silence: Duration,
     /// Time for which the platform has been answering somebody without a longer gap, as far as the node heard.
-    pub platform_up: Duration,
+    pub platform_up_for: Duration,
     /// Roll-outs that it knows of; empty when there are none.
     pub rollouts: Vec<u8>,
     /// What upstreams said of themselves; only in answers.
--- a/crates/dragonflystep_peer/src/link.rs
+++ b/crates/dragonflystep_peer/src/link.rs
@@ -2,10 +2,11 @@
 
 use {
     crate::{
-        Digest, ListPiece, ListPieceAsk, PeerError, PeerNetwork, TcpNetwork,
+        Digest, ListPiece, ListPieceRequest, PeerError, PeerNetwork, TcpNetwork,
         codec::{
-            decode_digest, decode_list_piece, decode_verdict, encode_ask, encode_digest,
-            encode_ended, encode_list_ask, encode_load, encode_running, encode_spending,
+            decode_digest, decode_list_piece, decode_slot_decision, encode_active_run,
+            encode_digest, encode_list_piece_request, encode_load, encode_run_report,
+            encode_slot_request, encode_usage,
         },
         notice_codec::encode_notices,
         peer_capnp::peer,
@@ -14,8 +15,8 @@
     },
     capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side},
     dragonflystep_dispatch::{
-        Ask, Ended, MonotonicTime, RunningRun, SpendingReport, UpstreamLoad, UpstreamNotice,
-        Verdict,
+        ActiveRun, MonotonicTime, RunReport, SlotDecision, SlotRequest, UpstreamLoad,
+        UpstreamNotice, UsageReport,
     },
     std::{
         cell::{Cell, RefCell},
@@ -57,11 +58,11 @@
 impl PeerLink {
     /// A link to the node at `address`, as IP:PORT, over TCP; nothing is opened yet.
     pub fn new(address: String) -> Self {
-        Self::over(Rc::new(TcpNetwork), address)
+        Self::with_network(Rc::new(TcpNetwork), address)
     }
 
     /// A link to the node at `address`, as IP:PORT, over a network; nothing is opened yet.
-    pub fn over(network: Rc<dyn PeerNetwork>, address: String) -> Self {
+    pub fn with_network(network: Rc<dyn PeerNetwork>, address: String) -> Self {
         Self {
             address,
             network,
@@ -105,22 +106,22 @@
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn ask(&self, ask: &Ask) -> Result<Verdict, PeerError> {
+    pub async fn request_slot(&self, ask: &SlotRequest) -> Result<SlotDecision, PeerError> {
         let client = self.client().await?;
         let mut request = client.ask_request();
-        encode_ask(ask, request.get().init_ask());
+        encode_slot_request(ask, request.get().init_ask());
         let response = self.heard(request.send().promise.await)?;
-        decode_verdict(response.get()?.get_verdict()?)
+        decode_slot_decision(response.get()?.get_verdict()?)
     }
 
     /// Tells of the end of a run.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn ended(&self, ended: &Ended) -> Result<(), PeerError> {
+    pub async fn report_run_end(&self, ended: &RunReport) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.ended_request();
-        encode_ended(ended, request.get().init_ended());
+        encode_run_report(ended, request.get().init_ended());
         self.heard(request.send().promise.await)?;
         Ok(())
     }
@@ -129,12 +130,12 @@
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn adopt(&self, runs: &[RunningRun]) -> Result<(), PeerError> {
+    pub async fn adopt_runs(&self, runs: &[ActiveRun]) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.adopt_request();
         let mut list = request.get().init_runs(runs.len() as u32);
         for (index, run) in runs.iter().enumerate() {
-            encode_running(run, list.reborrow().get(index as u32));
+            encode_active_run(run, list.reborrow().get(index as u32));
         }
         self.heard(request.send().promise.await)?;
         Ok(())
@@ -144,10 +145,10 @@
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn spent(&self, report: &SpendingReport) -> Result<(), PeerError> {
+    pub async fn report_usage(&self, report: &UsageReport) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.spent_request();
-        encode_spending(report, request.get().init_report());
+        encode_usage(report, request.get().init_report());
         self.heard(request.send().promise.await)?;
         Ok(())
     }
@@ -156,7 +157,7 @@
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn load_observed(&self, load: &UpstreamLoad) -> Result<(), PeerError> {
+    pub async fn report_load(&self, load: &UpstreamLoad) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.load_observed_request();
         encode_load(load, request.get().init_load());
@@ -168,7 +169,7 @@
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn noticed(&self, notices: &[UpstreamNotice]) -> Result<(), PeerError> {
+    pub async fn share_notices(&self, notices: &[UpstreamNotice]) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.noticed_request();
         encode_notices(notices, request.get().init_notices(notices.len() as u32));
@@ -180,15 +181,15 @@
     ///
     /// # Errors
     /// When the node can't be reached, does not answer in time or the connection breaks.
-    pub async fn list_since(
+    pub async fn fetch_list_piece(
         &self,
-        ask: ListPieceAsk,
+        ask: ListPieceRequest,
         limit: Duration,
     ) -> Result<ListPiece, PeerError> {
         let call = async {
             let client = self.client().await?;
             let mut request = client.list_since_request();
-            encode_list_ask(ask, request.get().init_piece());
+            encode_list_piece_request(ask, request.get().init_piece());
             let response = self.heard(request.send().promise.await)?;
             decode_list_piece(response.get()?.get_piece()?)
         };
--- a/crates/dragonflystep_peer/src/network.rs
+++ b/crates/dragonflystep_peer/src/network.rs
@@ -1,7 +1,7 @@
 //! How nodes reach one another: over TCP, or over a network of a test whose time is virtual.
 
 use {
-    crate::{SilenceLimits, prepare_stream},
+    crate::{KeepaliveLimits, configure_stream},
     std::{future::Future, io, net::SocketAddr, pin::Pin, time::Duration},
     tokio::{
         io::{AsyncRead, AsyncWrite},
@@ -78,6 +78,6 @@
 }
 
 fn prepared(stream: TcpStream) -> io::Result<Box<dyn PeerStream>> {
-    prepare_stream(&stream, SilenceLimits::default())?;
+    configure_stream(&stream, KeepaliveLimits::default())?;
     Ok(Box::new(stream))
 }
--- a/crates/dragonflystep_peer/src/notice_codec.rs
+++ b/crates/dragonflystep_peer/src/notice_codec.rs
@@ -25,10 +25,10 @@
             NoticeKind::RateLimited { requests_per_s } => slot.set_requests_per_s(requests_per_s),
             NoticeKind::RateUnlimited => slot.set_rate_unlimited(()),
             NoticeKind::Leaving => slot.set_leaving(()),
-            NoticeKind::Resting { node, lasts } => {
+            NoticeKind::BackOff { node, duration } => {
                 let mut resting = slot.init_resting();
                 resting.set_node(node);
-                resting.set_lasts_us(to_us(lasts));
+                resting.set_lasts_us(to_us(duration));
             }
         }
     }
@@ -62,9 +62,9 @@
         }
         Which::RateUnlimited(()) => Some(NoticeKind::RateUnlimited),
         Which::Leaving(()) => Some(NoticeKind::Leaving),
-        Which::Resting(resting) => Some(NoticeKind::Resting {
+        Which::Resting(resting) => Some(NoticeKind::BackOff {
             node: resting.get_node(),
-            lasts: Duration::from_micros(resting.get_lasts_us()),
+            duration: Duration::from_micros(resting.get_lasts_us()),
         }),
     }
 }
