--- a/crates/dragonflystep_peer/src/server.rs
+++ b/crates/dragonflystep_peer/src/server.rs
@@ -2,10 +2,11 @@
 
 use {
     crate::{
-        Digest, ListPiece, ListPieceAsk, PeerError, PeerStream,
+        Digest, ListPiece, ListPieceRequest, PeerError, PeerStream,
         codec::{
-            decode_ask, decode_digest, decode_ended, decode_list_ask, decode_load, decode_running,
-            decode_spending, encode_digest, encode_list_piece, encode_verdict,
+            decode_active_run, decode_digest, decode_list_piece_request, decode_load,
+            decode_run_report, decode_slot_request, decode_usage, encode_digest, encode_list_piece,
+            encode_slot_decision,
         },
         notice_codec::decode_notices,
         peer_capnp::peer,
@@ -13,7 +14,7 @@
     capnp::capability::Promise,
     capnp_rpc::{RpcSystem, new_client, pry, rpc_twoparty_capnp::Side, twoparty::VatNetwork},
     dragonflystep_dispatch::{
-        Ask, Ended, RunningRun, SpendingReport, UpstreamLoad, UpstreamNotice, Verdict,
+        ActiveRun, RunReport, SlotDecision, SlotRequest, UpstreamLoad, UpstreamNotice, UsageReport,
     },
     futures::io::{BufReader, BufWriter},
     std::{future::Future, pin::Pin, rc::Rc},
@@ -22,30 +23,30 @@
 };
 
 /// A verdict that comes when there is one; dropping it withdraws the request.
-pub type VerdictFuture = Pin<Box<dyn Future<Output = Verdict>>>;
+pub type SlotDecisionFuture = Pin<Box<dyn Future<Output = SlotDecision>>>;
 
 /// What a node does for one other node; dropped when the connection ends.
 pub trait PeerHandler {
     /// Asks for a place.
-    fn ask(&self, ask: Ask) -> VerdictFuture;
+    fn request_slot(&self, request: SlotRequest) -> SlotDecisionFuture;
 
     /// Tells of the end of a run.
-    fn ended(&self, ended: Ended);
+    fn report_run_end(&self, ended: RunReport);
 
     /// Tells of runs that another owner granted.
-    fn adopt(&self, runs: Vec<RunningRun>);
+    fn adopt_runs(&self, runs: Vec<ActiveRun>);
 
     /// Tells what accounts spent through the calling node, before it asks for a place.
-    fn spent(&self, report: SpendingReport);
+    fn report_usage(&self, report: UsageReport);
 
     /// Tells what an upstream said of its load.
-    fn load_observed(&self, load: UpstreamLoad);
+    fn report_load(&self, load: UpstreamLoad);
 
     /// Tells what upstreams said of themselves.
-    fn noticed(&self, notices: Vec<UpstreamNotice>);
+    fn share_notices(&self, notices: Vec<UpstreamNotice>);
 
     /// A piece of what a node is missing that has a version of a list.
-    fn list_since(&self, ask: ListPieceAsk) -> ListPiece;
+    fn fetch_list_piece(&self, request: ListPieceRequest) -> ListPiece;
 
     /// Tells a view and asks for the own one.
     fn exchange(&self, digest: Digest) -> Digest;
@@ -87,11 +88,11 @@
         mut results: peer::AskResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_ask());
-        let ask = pry!(decode_ask(message).map_err(|error| to_capnp(&error)));
-        let verdict = self.handler.ask(ask);
+        let request = pry!(decode_slot_request(message).map_err(|error| to_capnp(&error)));
+        let decision = self.handler.request_slot(request);
         Promise::from_future(async move {
-            let verdict = verdict.await;
-            encode_verdict(&verdict, results.get().init_verdict());
+            let decision = decision.await;
+            encode_slot_decision(&decision, results.get().init_verdict());
             Ok(())
         })
     }
@@ -102,8 +103,8 @@
         _: peer::EndedResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_ended());
-        self.handler.ended(pry!(
-            decode_ended(message).map_err(|error| to_capnp(&error))
+        self.handler.report_run_end(pry!(
+            decode_run_report(message).map_err(|error| to_capnp(&error))
         ));
         Promise::ok(())
     }
@@ -114,9 +115,9 @@
         _: peer::AdoptResults,
     ) -> Promise<(), capnp::Error> {
         let messages = pry!(pry!(params.get()).get_runs());
-        let runs: Result<Vec<_>, _> = messages.iter().map(decode_running).collect();
+        let runs: Result<Vec<_>, _> = messages.iter().map(decode_active_run).collect();
         self.handler
-            .adopt(pry!(runs.map_err(|error| to_capnp(&error))));
+            .adopt_runs(pry!(runs.map_err(|error| to_capnp(&error))));
         Promise::ok(())
     }
 
@@ -126,8 +127,8 @@
         _: peer::SpentResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_report());
-        let report = pry!(decode_spending(message).map_err(|error| to_capnp(&error)));
-        self.handler.spent(report);
+        let report = pry!(decode_usage(message).map_err(|error| to_capnp(&error)));
+        self.handler.report_usage(report);
         Promise::ok(())
     }
 
@@ -138,7 +139,7 @@
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_load());
         self.handler
-            .load_observed(pry!(decode_load(message).map_err(|error| to_capnp(&error))));
+            .report_load(pry!(decode_load(message).map_err(|error| to_capnp(&error))));
         Promise::ok(())
     }
 
@@ -150,7 +151,7 @@
         let messages = pry!(pry!(params.get()).get_notices());
         let notices = decode_notices(messages);
         self.handler
-            .noticed(pry!(notices.map_err(|error| to_capnp(&error))));
+            .share_notices(pry!(notices.map_err(|error| to_capnp(&error))));
         Promise::ok(())
     }
 
@@ -159,9 +160,9 @@
         params: peer::ListSinceParams,
         mut results: peer::ListSinceResults,
     ) -> Promise<(), capnp::Error> {
-        let ask = pry!(pry!(params.get()).get_piece());
-        let ask = pry!(decode_list_ask(ask).map_err(|error| to_capnp(&error)));
-        let piece = self.handler.list_since(ask);
+        let request = pry!(pry!(params.get()).get_piece());
+        let request = pry!(decode_list_piece_request(request).map_err(|error| to_capnp(&error)));
+        let piece = self.handler.fetch_list_piece(request);
         encode_list_piece(&piece, results.get().init_piece());
         Promise::ok(())
     }
--- a/crates/dragonflystep_peer/src/sockets.rs
+++ b/crates/dragonflystep_peer/src/sockets.rs
@@ -11,7 +11,7 @@
 
 /// After how long a silent connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SilenceLimits {
+pub struct KeepaliveLimits {
     /// Time without data until the first probe, and between probes; whole seconds.
     pub probe_interval: Duration,
     /// Probes without an answer.
@@ -20,7 +20,7 @@
     pub unacknowledged: Duration,
 }
 
-impl Default for SilenceLimits {
+impl Default for KeepaliveLimits {
     /// The shortest probes that the system offers: a silent connection ends after three seconds.
     fn default() -> Self {
         Self {
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// When the system refuses an option.
-pub fn prepare_stream(stream: &TcpStream, limits: SilenceLimits) -> io::Result<()> {
+pub fn configure_stream(stream: &TcpStream, limits: KeepaliveLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
