--- a/crates/dragonflystep_dispatch/src/catalogue.rs
+++ b/crates/dragonflystep_dispatch/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! What operators configure, in the product's own types.
+//! The catalogue: routes, services, accounts and limits that operators configure.
 
 use {
     crate::ids::{AccountName, RouteName, ServiceName},
@@ -9,55 +9,55 @@
 /// One version of everything that operators configure.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
-    /// Rises with each change.
+    /// Version number; increases with each change.
     pub version: u64,
-    /// Where requests go.
+    /// Routes, which map requests to services.
     pub routes: Vec<Route>,
-    /// Services with their limits.
+    /// Services with the limits of their upstreams.
     pub services: Vec<Service>,
-    /// Accounts with their keys and quotas; none when requests need no key.
+    /// Accounts with their keys and quotas; empty if requests need no key.
     pub accounts: Vec<Account>,
-    /// What a client may send.
+    /// Limits on what a client may send.
     pub limits: ClientLimits,
 }
 
-/// Requests of one host below one path, and how they are served.
+/// Maps the requests to one host below one path to services, with the rules for serving them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name for logs and metrics.
+    /// Name of the route in logs and metrics.
     pub name: RouteName,
-    /// Host that clients name, without a port.
+    /// Host that clients request, without a port.
     pub host: String,
-    /// Path that the request's path begins with.
+    /// Path prefix that a request's path has to begin with.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether they are answered with streams.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a caller waits for an answer.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is of full use.
+    /// Latency objective: the time within which an answer, or the first event of a stream, counts as on time.
     pub objective: Duration,
-    /// Rank of the requests; 0 goes first.
+    /// Priority of the requests; 0 goes first.
     pub tier: u8,
-    /// Services by weight; one in the plain case.
+    /// Services that receive the requests, by weight; usually one.
     pub targets: Vec<Target>,
-    /// Upstreams to which one request may be sent.
+    /// Largest number of upstreams to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_anonymous: bool,
 }
 
-/// What may be repeated of a route's requests.
+/// Whether a route's requests may be repeated, and whether they are answered with streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// A request may run more than once; it has a plain answer.
     Idempotent,
-    /// A request runs at most once.
+    /// A request must run at most once; it has a plain answer.
     NonIdempotent,
     /// The answer is a stream of events.
     Stream {
-        /// Whether another upstream may go on after the last event that arrived.
+        /// Whether another upstream may continue the stream after the last event that arrived.
         is_resumable: bool,
-        /// Longest pause between two events.
+        /// Longest permitted pause between two events.
         longest_pause: Duration,
     },
 }
@@ -65,88 +65,89 @@
 /// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// The service that receives the requests.
     pub service: ServiceName,
-    /// Its share, against the sum of all weights of the route.
+    /// Weight of the service, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
 /// A service and the limits of its upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one upstream accepts from all nodes together.
+    /// Largest number of connections that one upstream accepts from all nodes together.
     pub max_connections: u32,
-    /// Path at which an upstream says whether it takes requests; empty when it does not say.
+    /// Path of the upstreams' health check; empty if they have none.
     #[serde(default)]
     pub health_path: String,
-    /// What is known of its engines; none for a plain service.
+    /// Properties of the service's engines; absent for a plain service.
     pub engine: Option<Engine>,
 }
 
-/// Properties of the engines of a service.
+/// Properties of the inference engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that one engine runs at once.
     pub slots: u32,
-    /// Memory for prompts and cached parts, in tokens.
+    /// Size of the KV cache for prompts and cached prefixes, in tokens.
     pub cache_tokens: u64,
-    /// Output tokens in one event.
+    /// Number of output tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// A client account.
+/// A client account with its keys, priority and quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its name, which upstreams are told.
+    /// Name of the account, which is passed on to upstreams.
     pub name: AccountName,
-    /// Keys that clients send.
+    /// Keys by which clients identify as this account.
     pub keys: Vec<String>,
-    /// Rank of its requests, which goes before that of the route; the route's decides among equals.
+    /// Priority of the account's requests. It takes precedence over the route's tier, which decides among equal ones.
+    /// If absent, the route's tier is used.
     pub tier: Option<u8>,
-    /// What it may use.
+    /// Quota of the account; absent if it is not limited.
     pub quota: Option<AccountQuota>,
 }
 
-/// What an account may use over all nodes.
+/// The rate and burst that an account may use over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AccountQuota {
-    /// What the other fields count.
+    /// Unit of the other fields.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units that the account may use per second.
     pub units_per_s: f64,
-    /// Units at once.
+    /// Units that the account may use at once.
     pub burst_units: f64,
 }
 
-/// What a quota counts.
+/// The unit in which a quota is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// Requests.
+    /// Each request counts as one unit.
     Requests,
-    /// Prompt tokens and the most output tokens.
+    /// Each request counts as its prompt tokens plus the largest number of output tokens.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Number of tokens that is counted for a request that states none.
         plain_request_tokens: u32,
     },
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on the size of a client's requests and on the time that it may take to send them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Size of the head.
+    /// Largest size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Size of the body.
+    /// Largest size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to send the head.
+    /// Longest time that a client may take to send the head.
     pub header_timeout: Duration,
-    /// Time that a connection may stay unused.
+    /// Longest time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Generous limits for the time before the first catalogue is known.
+    /// Returns generous limits, which apply until the first catalogue is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
--- a/crates/dragonflystep_dispatch/src/crash_suspects.rs
+++ b/crates/dragonflystep_dispatch/src/crash_suspects.rs
@@ -1,7 +1,7 @@
-//! Requests that broke the upstreams which ran them.
+//! Recognizes requests that crash the upstreams that run them.
 //!
-//! A request that crashes each engine comes again under a new id. After some breaks without one whole
-//! answer it is refused, before it takes the next engine down.
+//! A request that crashes every engine comes again under a new id. After several crashes without a complete answer it
+//! is refused, before it crashes the next engine.
 
 use {
     crate::{
@@ -11,33 +11,33 @@
     std::collections::HashMap,
 };
 
-/// Requests that broke upstreams lately.
+/// Requests that recently broke upstreams, with the number of crashes and the time of the last one.
 #[derive(Debug, Default)]
 pub(crate) struct CrashSuspects {
-    breaks: HashMap<RequestFingerprint, (u32, MonotonicTime)>,
+    crashes: HashMap<RequestFingerprint, (u32, MonotonicTime)>,
 }
 
 impl CrashSuspects {
-    /// Counts a break.
+    /// Counts a run of the request that broke its upstream.
     pub(crate) fn record_crash(&mut self, now: MonotonicTime, request: RequestFingerprint) {
-        if self.breaks.len() >= MAX_CRASH_SUSPECTS {
-            self.breaks
+        if self.crashes.len() >= MAX_CRASH_SUSPECTS {
+            self.crashes
                 .retain(|_, (_, at)| now.saturating_sub(*at) < CRASH_MEMORY);
         }
-        let entry = self.breaks.entry(request).or_insert((0, now));
+        let entry = self.crashes.entry(request).or_insert((0, now));
         entry.0 += 1;
         entry.1 = now;
     }
 
-    /// Clears a request that was answered whole.
+    /// Clears a request that was answered completely.
     pub(crate) fn record_completion(&mut self, request: RequestFingerprint) {
-        self.breaks.remove(&request);
+        self.crashes.remove(&request);
     }
 
-    /// Whether the request is to be refused.
+    /// Whether the request must be refused.
     pub(crate) fn is_refused(&self, now: MonotonicTime, request: RequestFingerprint) -> bool {
-        self.breaks.get(&request).is_some_and(|(breaks, at)| {
-            *breaks >= CRASHES_BEFORE_REFUSAL && now.saturating_sub(*at) < CRASH_MEMORY
+        self.crashes.get(&request).is_some_and(|(crashes, at)| {
+            *crashes >= CRASHES_BEFORE_REFUSAL && now.saturating_sub(*at) < CRASH_MEMORY
         })
     }
 }
--- a/crates/dragonflystep_dispatch/src/dispatcher.rs
+++ b/crates/dragonflystep_dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The reducer of a service's owner: events in, verdicts out.
+//! The state machine of a service's owner: it takes events and returns decisions for the entry nodes.
 
 use {
     crate::{
@@ -30,15 +30,15 @@
 /// Limits that operators set for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedLimits {
-    /// Retries of a service for each of its requests.
+    /// Permitted retries of a service, as a share of its requests.
     pub retry_ratio: f64,
-    /// Retries of a service besides.
+    /// Permitted retries of a service in each window, in addition to [`retry_ratio`](Self::retry_ratio).
     pub retry_slack: f64,
     /// Length of the window in which retries are counted, in seconds.
     pub retry_window_s: u64,
-    /// How the use of accounts is judged.
+    /// Window and tolerance by which the accounts' quotas are enforced.
     pub quota: QuotaRules,
-    /// How many requests a new version may get before it is known to be good.
+    /// How many requests an unproven new version may get.
     pub rollout: RolloutRules,
 }
 
@@ -52,55 +52,56 @@
     }
 }
 
-/// What happened.
+/// Something that happened and that the dispatcher reacts to.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An entry asks for a place.
+    /// An entry node asks for a slot.
     SlotRequested(SlotRequest),
-    /// An entry no longer waits for a place.
+    /// An entry node no longer waits for a slot, for example because the caller left.
     RequestWithdrawn(ServiceName, RunId),
-    /// A run ended.
+    /// An entry node reported the end of a run.
     RunEnded(RunReport),
-    /// An entry reported a run that another owner granted.
+    /// An entry node reported an active run that another owner granted.
     RunAdopted(ActiveRun),
-    /// An entry reported what accounts spent through it, before it asks this owner.
+    /// An entry node reported what accounts recently used through it. It does so before its first slot request to this
+    /// owner.
     UsageReported(UsageReport),
-    /// The list of nodes changed; their number.
+    /// The list of nodes changed and now has this length.
     NodeCountChanged(usize),
-    /// The limits for all nodes together changed.
+    /// The limits that operators set for all nodes together changed.
     LimitsChanged(SharedLimits),
     /// A new version of the catalogue is in force.
     CatalogueChanged(Arc<Catalogue>),
-    /// The registry of upstreams changed; all entries.
+    /// The registry of upstreams changed; contains all entries.
     UpstreamsChanged(Vec<Upstream>),
-    /// How much of the system this node sees.
+    /// The number of nodes that this node sees changed.
     VisibilityChanged(Visibility),
-    /// How many of the nodes have called this one lately, or answered its calls.
+    /// The number of nodes that recently called this one, or answered its calls, changed.
     RecentContactsChanged(Visibility),
-    /// An upstream said that requests wait there.
+    /// An upstream reported its load.
     LoadObserved(UpstreamLoad),
-    /// An upstream said something of itself in an answer.
+    /// An upstream stated something about itself in an answer.
     NoticeReceived(UpstreamNotice),
-    /// An operator orders that a service's requests move to another version, or the order is known better.
+    /// An operator ordered a roll-out, or the details of a known order changed.
     RolloutOrdered(RolloutOrder),
-    /// An order of a number was decided by another node, or earlier.
+    /// The order with this number was decided by another node, or by an earlier owner.
     RolloutSettled(ServiceName, u64, RolloutPhase),
-    /// An operator withdrew the order of a service.
+    /// An operator withdrew the roll-out order of a service.
     RolloutWithdrawn(ServiceName),
-    /// Time passed.
+    /// Time passed; expires waiting requests and advances roll-outs.
     Ticked,
 }
 
-/// A verdict for an entry.
+/// A decision that has to be sent to an entry node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
-    /// The dispatch that was asked for.
+    /// The run for which a slot was requested.
     pub run: RunId,
-    /// The verdict.
+    /// Whether the run gets a slot.
     pub decision: SlotDecision,
 }
 
-/// The decisions of one owner, for all services that it owns.
+/// Makes the scheduling decisions of one node, for all services that it owns.
 ///
 /// # Examples
 /// ```
@@ -120,21 +121,22 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     retry_limits: RetryLimits,
+    /// Share of the limits common to all nodes that this owner may use, by the number of visible nodes.
     share: f64,
-    /// Share of the accounts' quotas, by the nodes that were heard lately.
+    /// Like `share`, but by the number of nodes that were recently in contact; applies to the accounts' quotas.
     quota_share: f64,
     pools: HashMap<ServiceName, ServicePool>,
     quotas: Quotas,
-    suspects: CrashSuspects,
+    crash_suspects: CrashSuspects,
     rollout_rules: RolloutRules,
     rollout_steps: Vec<RolloutStep>,
     notices: UpstreamNotices,
-    /// Until when another owner may be giving out places too.
-    overlaps_until: Option<MonotonicTime>,
+    /// Time until which another owner may be granting slots too; absent when no overlap is known.
+    overlap_ends_at: Option<MonotonicTime>,
 }
 
 impl Dispatcher {
-    /// An owner that knows nothing yet.
+    /// Creates a dispatcher that knows no services, upstreams or accounts.
     pub fn new(limits: SharedLimits) -> Self {
         Self {
             retry_limits: limits.retries(),
@@ -142,26 +144,26 @@
             quota_share: 1.0,
             pools: HashMap::new(),
             quotas: Quotas::new(limits.quota),
-            suspects: CrashSuspects::default(),
+            crash_suspects: CrashSuspects::default(),
             rollout_rules: limits.rollout,
             rollout_steps: Vec::new(),
             notices: UpstreamNotices::default(),
-            overlaps_until: None,
+            overlap_ends_at: None,
         }
     }
 
-    /// Steps of roll-outs since the last call, which others have to be told of.
+    /// Returns the roll-out steps since the last call, which the caller has to publish.
     pub fn take_rollout_steps(&mut self) -> Vec<RolloutStep> {
         std::mem::take(&mut self.rollout_steps)
     }
 
-    /// Applies what happened at `now` and returns the verdicts that follow.
+    /// Applies an event that happened at `now` and returns the resulting decisions.
     pub fn reduce(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::SlotRequested(request) => self.asked(now, request, &mut effects),
-            Event::RequestWithdrawn(service, run) => self.withdrawn(&service, run),
-            Event::RunEnded(ended) => self.ended(now, &ended, &mut effects),
+            Event::SlotRequested(request) => self.handle_slot_request(now, request, &mut effects),
+            Event::RequestWithdrawn(service, run) => self.handle_withdrawal(&service, run),
+            Event::RunEnded(report) => self.handle_run_end(now, &report, &mut effects),
             Event::RunAdopted(running) => {
                 let pool = self
                     .pools
@@ -169,8 +171,8 @@
                     .or_default();
                 pool.adopt_run(now, running);
                 let until = now + OWNER_OVERLAP;
-                if self.overlaps_until.replace(until).is_none() {
-                    self.share_limits(now);
+                if self.overlap_ends_at.replace(until).is_none() {
+                    self.apply_rate_limit_share(now);
                 }
             }
             Event::UsageReported(report) => self.quotas.apply_report(now, report),
@@ -183,7 +185,7 @@
             Event::CatalogueChanged(catalogue) => self.set_catalogue(&catalogue),
             Event::UpstreamsChanged(upstreams) => {
                 self.set_upstreams(now, upstreams);
-                self.place_all(now, &mut effects);
+                self.place_all_waiting(now, &mut effects);
             }
             Event::VisibilityChanged(visibility) => {
                 self.share = partition_limit_share(visibility.visible, visibility.known);
@@ -191,27 +193,27 @@
                 for pool in self.pools.values_mut() {
                     pool.limit_slots(slots);
                 }
-                self.share_limits(now);
+                self.apply_rate_limit_share(now);
             }
-            Event::RecentContactsChanged(heard) => {
-                self.quota_share = partition_limit_share(heard.visible, heard.known);
+            Event::RecentContactsChanged(contacts) => {
+                self.quota_share = partition_limit_share(contacts.visible, contacts.known);
             }
             Event::LoadObserved(load) => {
                 if let Some(pool) = self.pools.get_mut(&load.service) {
-                    pool.load_observed(now, &load);
+                    pool.record_load(now, &load);
                 }
             }
-            Event::NoticeReceived(notice) => self.noticed(now, &notice, &mut effects),
+            Event::NoticeReceived(notice) => self.handle_notice(now, &notice, &mut effects),
             Event::RolloutOrdered(order) => {
                 let pool = self.pools.entry(order.service.clone()).or_default();
                 pool.order_rollout(now, order, self.rollout_rules);
-                self.place_all(now, &mut effects);
+                self.place_all_waiting(now, &mut effects);
             }
             Event::RolloutSettled(service, number, phase) => {
                 if let Some(pool) = self.pools.get_mut(&service) {
                     pool.settle_rollout(number, phase);
                 }
-                self.place_all(now, &mut effects);
+                self.place_all_waiting(now, &mut effects);
             }
             Event::RolloutWithdrawn(service) => {
                 if let Some(pool) = self.pools.get_mut(&service) {
@@ -219,35 +221,39 @@
                 }
             }
             Event::Ticked => {
-                if self.overlaps_until.take_if(|until| *until <= now).is_some() {
-                    self.share_limits(now);
+                if self
+                    .overlap_ends_at
+                    .take_if(|until| *until <= now)
+                    .is_some()
+                {
+                    self.apply_rate_limit_share(now);
                 }
                 for pool in self.pools.values_mut() {
                     self.rollout_steps.extend(pool.advance_rollout(now));
                     pool.expire_waiting(now, &mut effects);
                 }
-                self.place_all(now, &mut effects);
+                self.place_all_waiting(now, &mut effects);
             }
         }
         effects
     }
 
-    /// What upstreams said of themselves and another node has to know, the latest first.
+    /// Returns the upstreams' notices that other nodes have to know, the latest first.
     pub fn notices(&self, now: MonotonicTime) -> Vec<UpstreamNotice> {
         self.notices.to_share(now)
     }
 
-    /// Requests a second that an upstream takes from all nodes together, if it names a limit.
+    /// Returns the rate limit that an upstream stated, in requests per second of all nodes together.
     pub fn rate_limit(&self, upstream: &UpstreamId) -> Option<f64> {
         self.notices.rate_limit(upstream)
     }
 
-    /// Whether an upstream said that it leaves.
+    /// Whether an upstream announced that it is leaving.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         self.notices.is_leaving(upstream)
     }
 
-    /// Whether an upstream wants no requests of a node now.
+    /// Whether an upstream asked a node to send no requests for now.
     pub fn wants_back_off_from(
         &self,
         now: MonotonicTime,
@@ -257,12 +263,12 @@
         now < self.notices.back_off_until(upstream, node)
     }
 
-    /// Services that something is known of.
+    /// Returns the number of services for which the dispatcher holds state.
     pub fn service_count(&self) -> usize {
         self.pools.len()
     }
 
-    /// What the owner believes of the services for which it granted a place since the last call.
+    /// Returns summaries of the services that have waiting requests or were granted a slot since the last call.
     pub fn summaries(&mut self, now: MonotonicTime) -> Vec<PoolSummary> {
         let summaries = self
             .pools
@@ -273,10 +279,15 @@
             .collect()
     }
 
-    fn asked(&mut self, now: MonotonicTime, request: SlotRequest, effects: &mut Vec<Effect>) {
+    fn handle_slot_request(
+        &mut self,
+        now: MonotonicTime,
+        request: SlotRequest,
+        effects: &mut Vec<Effect>,
+    ) {
         if let Some(refusal) = self.refuse_by_limits(now, &request) {
             let pool = self.pools.entry(request.service.clone()).or_default();
-            pool.note_refused_at_once(now, &request);
+            pool.record_immediate_refusal(now, &request);
             effects.push(Effect {
                 run: request.run,
                 decision: SlotDecision::Refused(refusal),
@@ -288,7 +299,7 @@
         let pool = self.pools.entry(request.service.clone()).or_default();
         self.rollout_steps.extend(pool.advance_rollout(now));
         pool.enqueue(now, request, effects);
-        // What does not run does not use up the quota.
+        // A refused request does not run, so its quota units are refunded.
         if let Some(account) = account
             && effects.iter().any(|effect| {
                 effect.run == run && matches!(effect.decision, SlotDecision::Refused(_))
@@ -303,7 +314,7 @@
         now: MonotonicTime,
         request: &SlotRequest,
     ) -> Option<crate::Refusal> {
-        if self.suspects.is_refused(now, request.fingerprint) {
+        if self.crash_suspects.is_refused(now, request.fingerprint) {
             return Some(refuse(RefusalReason::CrashSuspect, Duration::MAX));
         }
         let limits = self.retry_limits;
@@ -325,7 +336,7 @@
         }
     }
 
-    fn withdrawn(&mut self, service: &ServiceName, run: RunId) {
+    fn handle_withdrawal(&mut self, service: &ServiceName, run: RunId) {
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
@@ -336,14 +347,21 @@
         }
     }
 
-    fn ended(&mut self, now: MonotonicTime, ended: &RunReport, effects: &mut Vec<Effect>) {
-        let Some(pool) = self.pools.get_mut(&ended.service) else {
+    fn handle_run_end(
+        &mut self,
+        now: MonotonicTime,
+        report: &RunReport,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(pool) = self.pools.get_mut(&report.service) else {
             return;
         };
-        if let Some(end) = pool.finish_run(now, ended) {
-            match ended.outcome {
-                RunOutcome::Broken => self.suspects.record_crash(now, end.fingerprint),
-                RunOutcome::Completed => self.suspects.record_completion(end.fingerprint),
+        if let Some(finished) = pool.finish_run(now, report) {
+            match report.outcome {
+                RunOutcome::Broken => self.crash_suspects.record_crash(now, finished.fingerprint),
+                RunOutcome::Completed => {
+                    self.crash_suspects.record_completion(finished.fingerprint)
+                }
                 RunOutcome::Failed
                 | RunOutcome::Rejected
                 | RunOutcome::Misdirected
@@ -351,17 +369,22 @@
                 | RunOutcome::Withheld
                 | RunOutcome::Cancelled => {}
             }
-            if !ended.outcome.has_run()
-                && let Some(account) = &end.request.account
+            if !report.outcome.has_run()
+                && let Some(account) = &finished.request.account
             {
                 self.quotas
-                    .refund(account, f64::from(end.request.quota_units));
+                    .refund(account, f64::from(finished.request.quota_units));
             }
         }
         pool.place_waiting(now, effects);
     }
 
-    fn noticed(&mut self, now: MonotonicTime, notice: &UpstreamNotice, effects: &mut Vec<Effect>) {
+    fn handle_notice(
+        &mut self,
+        now: MonotonicTime,
+        notice: &UpstreamNotice,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.notices.apply(now, notice) {
             return;
         }
@@ -371,16 +394,16 @@
         }
     }
 
-    /// Share of the upstreams' rate limits that this owner may use.
-    fn limits_share(&self) -> f64 {
-        let overlap = self.overlaps_until.map_or(1.0, |_| OVERLAP_RATE_SHARE);
+    /// Returns the share of the upstreams' rate limits that this owner may use.
+    fn rate_limit_share(&self) -> f64 {
+        let overlap = self.overlap_ends_at.map_or(1.0, |_| OVERLAP_RATE_SHARE);
         self.share * overlap
     }
 
-    fn share_limits(&mut self, now: MonotonicTime) {
-        let share = self.limits_share();
+    fn apply_rate_limit_share(&mut self, now: MonotonicTime) {
+        let share = self.rate_limit_share();
         for pool in self.pools.values_mut() {
-            pool.set_limits_share(now, share);
+            pool.set_rate_limit_share(now, share);
         }
     }
 
@@ -398,28 +421,31 @@
     }
 
     fn set_upstreams(&mut self, now: MonotonicTime, upstreams: Vec<Upstream>) {
-        let listed: HashSet<UpstreamId> = upstreams.iter().map(|one| one.id.clone()).collect();
+        let listed: HashSet<UpstreamId> = upstreams
+            .iter()
+            .map(|upstream| upstream.id.clone())
+            .collect();
         self.notices
             .forget_old(now, |upstream| listed.contains(upstream));
         let mut by_service: HashMap<ServiceName, Vec<Upstream>> = HashMap::new();
         for upstream in upstreams {
-            let of_service = by_service.entry(upstream.service.clone()).or_default();
-            of_service.push(upstream);
+            let service_upstreams = by_service.entry(upstream.service.clone()).or_default();
+            service_upstreams.push(upstream);
         }
         for name in by_service.keys() {
             self.pools.entry(name.clone()).or_default();
         }
-        let limits_share = self.limits_share();
+        let rate_limit_share = self.rate_limit_share();
         for (name, pool) in &mut self.pools {
             pool.set_upstreams(now, by_service.remove(name).unwrap_or_default());
-            pool.set_limits_share(now, limits_share);
+            pool.set_rate_limit_share(now, rate_limit_share);
             pool.apply_notices(now, &self.notices);
         }
-        // Entries of the registry may name any service; what they leave behind must not pile up.
+        // Registry entries may name any service; dropping unused pools keeps them from accumulating.
         self.pools.retain(|_, pool| !pool.is_unused());
     }
 
-    fn place_all(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
+    fn place_all_waiting(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         for pool in self.pools.values_mut() {
             pool.place_waiting(now, effects);
         }
--- a/crates/dragonflystep_dispatch/src/ids.rs
+++ b/crates/dragonflystep_dispatch/src/ids.rs
@@ -1,47 +1,47 @@
-//! Names and numbers that identify things, and the clock of the decisions.
+//! Identifiers of services, accounts, nodes, upstreams and runs, and the clock that all decisions use.
 
 use std::{sync::Arc, time::Duration};
 
-/// Time since the process started, by a monotonic clock.
+/// Time since the start of the process, by a monotonic clock.
 pub type MonotonicTime = Duration;
 
 /// Name of a service: a set of upstreams that serve the same requests.
 pub type ServiceName = Arc<str>;
 
-/// Name of a client account.
+/// Name of a client account, as it appears in the catalogue.
 pub type AccountName = Arc<str>;
 
-/// Name of a route.
+/// Name of a route, as it appears in the catalogue.
 pub type RouteName = Arc<str>;
 
-/// Identifies one start of an upstream.
+/// Identifies one start of an upstream; an upstream that restarts gets another id.
 pub type UpstreamId = Arc<str>;
 
-/// Version of the software that an upstream runs; empty if it does not say.
+/// Version of the software that an upstream runs; empty if the upstream does not state one.
 pub type UpstreamVersion = Arc<str>;
 
-/// Name of a node of the system.
+/// Name of a dragonflystep node.
 pub type NodeName = Arc<str>;
 
-/// Name of a data centre.
+/// Name of the data centre in which a node or an upstream runs.
 pub type DataCentreName = Arc<str>;
 
-/// Rank of a request among all; 0 goes first. Made of the account's rank, then the route's.
+/// Priority of a request; 0 goes first. Combines the account's tier (high byte) with the route's tier (low byte).
 pub type Tier = u16;
 
-/// Identifies one dispatch of a request; unique among the nodes that run.
+/// Identifies one dispatch of a request; unique among all nodes, since it contains the [`NodeIncarnation`].
 pub type RunId = u64;
 
-/// Identifies a part of a prompt that several requests may share.
+/// Identifies a segment of a prompt that several requests may share.
 pub type PromptSegmentId = u64;
 
-/// Digest of a request's account, path and content.
+/// Hash of a request's account, path and content; recognizes a request that comes again under another id.
 pub type RequestFingerprint = u64;
 
-/// A start of a node, which each of its runs names.
+/// Identifies one start of a node; part of the id of each run that the node begins.
 pub type NodeIncarnation = u32;
 
-/// The start of the node that began a run.
+/// Returns the incarnation of the node that began a run.
 ///
 /// # Examples
 /// ```
@@ -53,7 +53,7 @@
     (run >> 32) as NodeIncarnation
 }
 
-/// The id of a run by its number at a start of a node.
-pub fn run_id(start: NodeIncarnation, number: u32) -> RunId {
-    (RunId::from(start) << 32) | RunId::from(number)
+/// Builds the id of the run with the given number at one incarnation of a node.
+pub fn run_id(incarnation: NodeIncarnation, number: u32) -> RunId {
+    (RunId::from(incarnation) << 32) | RunId::from(number)
 }
--- a/crates/dragonflystep_dispatch/src/lib.rs
+++ b/crates/dragonflystep_dispatch/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions on requests, apart from all I/O: which route and account a request belongs to, which node
-//! owns a service, and how work waits, is refused and is placed.
+//! Scheduling decisions, without any I/O: which route and account a request belongs to, which node owns a service,
+//! and which requests are queued, refused or placed at an upstream.
 //!
-//! The owner of a service drives one [`Dispatcher`]: it takes [`Event`]s with the time at which they
-//! happened and returns [`Effect`]s. The same code runs in a node, in the tests and in replays of a load.
+//! Each node drives one [`Dispatcher`] for the services that it owns. The dispatcher is a state machine: it takes
+//! [`Event`]s together with the time at which they happened and returns [`Effect`]s. The same code runs in a node, in
+//! tests and in replays of recorded load.
 
 mod catalogue;
 mod crash_suspects;
--- a/crates/dragonflystep_dispatch/src/messages.rs
+++ b/crates/dragonflystep_dispatch/src/messages.rs
@@ -1,4 +1,4 @@
-//! What an entry node asks the owner of a service, what the owner answers, and what is told at the end.
+//! The messages between an entry node and the owner of a service: slot requests, decisions, and reports of runs.
 
 use {
     crate::ids::{
@@ -8,137 +8,137 @@
     std::time::Duration,
 };
 
-/// A part of a prompt, in the order of the prompt.
+/// A segment of a prompt. A prompt's segments are listed in their order in the prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Identifies the part.
+    /// Identifies the segment's content.
     pub id: PromptSegmentId,
-    /// Its size.
+    /// Size of the segment, in tokens.
     pub tokens: u32,
 }
 
-/// How much work a request brings.
+/// The amount of work that a request causes at an upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkSize {
-    /// Tokens of the prompt; 0 for a plain call.
+    /// Size of the prompt, in tokens; 0 for a plain call.
     pub prompt_tokens: u32,
-    /// Output tokens that are expected.
+    /// Expected output, in tokens.
     pub output_tokens: u32,
-    /// Parts of the prompt that other requests may share.
+    /// Segments of the prompt that other requests may share.
     pub segments: Vec<PromptSegment>,
 }
 
-/// A request for a place at an upstream.
+/// An entry node's request for a slot at an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotRequest {
-    /// The dispatch that the place is for.
+    /// The run that the slot is for.
     pub run: RunId,
-    /// The service.
+    /// The service whose upstreams may run the request.
     pub service: ServiceName,
-    /// The route, whose measured durations predict this one's.
+    /// The route of the request; durations of earlier runs on it predict those of this one.
     pub route: RouteName,
-    /// The account that pays, if requests need a key.
+    /// The account whose quota the request uses; absent if requests need no key.
     pub account: Option<AccountName>,
-    /// Units of the account's quota that the request uses.
+    /// Number of quota units that the request uses.
     pub quota_units: u32,
-    /// Rank; 0 goes first.
+    /// Priority of the request; 0 goes first.
     pub tier: Tier,
-    /// Time until the answer or first event is late, by what the asking node knows; zero when it is late already.
+    /// Time until the answer or its first event is late, as far as the entry node knows; zero if it is late already.
     pub objective_left: Duration,
-    /// Time until the caller gives up, if no answer has begun by then.
+    /// Time until the caller gives up if no answer has begun.
     pub time_left: Duration,
-    /// Longest pause between events; none for a plain call.
+    /// Longest permitted pause between two events of the stream; absent for a plain call.
     pub longest_pause: Option<Duration>,
-    /// How much work it brings.
+    /// The amount of work that the request causes.
     pub size: WorkSize,
-    /// Upstreams that got this request before.
+    /// Number of upstreams to which this request was sent before.
     pub attempt: u32,
-    /// Upstreams that are not to be chosen.
+    /// Upstreams that must not be chosen for this request.
     pub avoid: Vec<UpstreamId>,
-    /// Recognizes the request when it comes again under another id.
+    /// Recognizes the request if it comes again under another id.
     pub fingerprint: RequestFingerprint,
-    /// Where the asking node is.
+    /// Data centre of the entry node.
     pub data_centre: DataCentreName,
 }
 
-/// A place at an upstream.
+/// A slot at an upstream that an owner granted to a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The upstream.
+    /// The upstream to which the entry node sends the request.
     pub upstream: UpstreamId,
-    /// Its address, as IP:PORT.
+    /// Address of the upstream, as IP:PORT.
     pub address: String,
 }
 
-/// Why a request is refused.
+/// Why an owner refuses a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The queue is too long for the request's time.
+    /// The request would wait longer than it may.
     Overloaded,
-    /// The account used up its quota.
+    /// The account has used up its quota.
     QuotaExceeded,
-    /// Retries of the service are used up.
+    /// The retry budget of the service is used up.
     RetryBudgetSpent,
-    /// No upstream is known that may take it.
+    /// No upstream is known that may run the request.
     NoUpstream,
-    /// The request broke several upstreams.
+    /// The request broke several upstreams that ran it.
     CrashSuspect,
 }
 
-/// An answer that no place is given.
+/// An owner's answer that a run gets no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: RefusalReason,
-    /// When the caller may come back.
+    /// Time after which the caller should try again.
     pub retry_after: Duration,
 }
 
-/// The owner's answer.
+/// An owner's answer to a slot request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// A place is given.
+    /// The run gets a slot.
     Granted(Grant),
-    /// None is given.
+    /// The run gets no slot.
     Refused(Refusal),
 }
 
-/// What an upstream says of its load.
+/// The load that an upstream reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Its service.
+    /// Service of the upstream.
     pub service: ServiceName,
-    /// The upstream.
+    /// The upstream that reports its load.
     pub upstream: UpstreamId,
-    /// Requests that run there, from all callers.
+    /// Number of requests that run there, from all callers.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests that wait there for one of the upstream's own slots.
     pub waiting: u32,
 }
 
-/// How a run ended, as the entry saw it.
+/// How a run ended, as the entry node observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RunOutcome {
     /// The whole answer arrived.
     Completed,
-    /// The upstream answered with a failure.
+    /// The upstream answered with an error.
     Failed,
-    /// The upstream said that it is full and did not run the request.
+    /// The upstream answered that it is full and did not run the request.
     Rejected,
-    /// Another upstream has the address now.
+    /// The address now belongs to another upstream.
     Misdirected,
     /// No connection could be opened; nothing was sent.
     Unreachable,
-    /// The entry knew that the upstream wants no request; nothing was sent.
+    /// The entry node knew that the upstream takes no requests for now; nothing was sent.
     Withheld,
     /// The connection broke after the request was sent.
     Broken,
-    /// The caller left or the time ran out; says nothing about the upstream.
+    /// The caller left or the request timed out; says nothing about the upstream.
     Cancelled,
 }
 
 impl RunOutcome {
-    /// Whether the request may have run, and so counts against quotas.
+    /// Whether the request may have run and therefore counts against quotas.
     pub fn has_run(self) -> bool {
         !matches!(
             self,
@@ -146,7 +146,7 @@
         )
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the outcome in logs and metrics.
     ///
     /// # Examples
     /// ```
@@ -168,29 +168,29 @@
     }
 }
 
-/// The end of a run, with what it tells of the upstream.
+/// An entry node's report of the end of a run, with the durations from which the owner learns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunReport {
-    /// The dispatch.
+    /// The run that ended.
     pub run: RunId,
-    /// Its service.
+    /// Service that the run belonged to.
     pub service: ServiceName,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: RunOutcome,
-    /// From the dispatch to the first event, if one came.
+    /// Time from the dispatch to the first event; absent if no event arrived.
     pub to_first_event: Option<Duration>,
-    /// From the dispatch to the end.
+    /// Time from the dispatch to the end of the run.
     pub to_end: Duration,
-    /// Events that came.
+    /// Number of events that arrived.
     pub events: u32,
 }
 
-/// A run that an entry tells a new owner of.
+/// An active run that an entry node reports to a new owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveRun {
-    /// The ask that it came from.
+    /// The slot request that led to the run.
     pub request: SlotRequest,
-    /// Where it runs.
+    /// The upstream that runs it.
     pub upstream: UpstreamId,
     /// How long it has been running.
     pub running_for: Duration,
--- a/crates/dragonflystep_dispatch/src/notices.rs
+++ b/crates/dragonflystep_dispatch/src/notices.rs
@@ -1,8 +1,10 @@
-//! What upstreams say of themselves in their answers, and from when it is.
+//! Notices: statements that upstreams make about themselves in their answers, with the time at which they were made.
 //!
-//! The load it answers: an upstream in trouble names the rate that it takes from all nodes together, or refuses requests and
-//! wants rest; one that leaves says so long before the registry does. Any node may be the first to hear it, and any may own
-//! the services next, so each keeps what was said with its time: the later statement holds, in whatever order they arrive.
+//! An upstream in trouble states the rate that it takes from all nodes together, or refuses requests and asks for a
+//! back-off. An upstream that is leaving announces it long before the registry shows it. Any node may be the first to
+//! receive a notice, and any node may own the services next. So each node keeps the notices with their times, which
+//! makes the result independent of the order in which they arrive: the latest rate statement and the back-off that ends
+//! last apply.
 
 use {
     crate::{
@@ -12,62 +14,64 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Something that an upstream said of itself.
+/// A statement that an upstream made about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamNotice {
-    /// Its service.
+    /// Service of the upstream.
     pub service: ServiceName,
-    /// The upstream.
+    /// The upstream that made the statement.
     pub upstream: UpstreamId,
-    /// What it said.
+    /// Content of the statement.
     pub kind: NoticeKind,
-    /// Time since it was said. For an answer that names no limit it is the time since the request was sent, the earliest moment
-    /// at which it can have been made.
+    /// Time since the statement was made. For [`NoticeKind::RateUnlimited`] it is the time since the request was sent,
+    /// which is the earliest moment at which the answer can have been made.
     pub age: Duration,
 }
 
-/// What an upstream may say of itself.
+/// Content of an upstream's statement about itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoticeKind {
-    /// It takes so many requests a second from all nodes together.
+    /// The upstream limits the rate of requests from all nodes together.
     RateLimited {
-        /// Requests a second.
+        /// The limit, in requests per second.
         requests_per_s: f64,
     },
-    /// It names no rate limit any more.
+    /// The upstream no longer states a rate limit.
     RateUnlimited,
-    /// It is about to leave and takes no new requests; this is never taken back.
+    /// The upstream is about to leave and takes no new requests. This is never revoked.
     Leaving,
-    /// It refused a request and wants none from that node for a while.
+    /// The upstream refused a request and asks that node to send none for a while.
     BackOff {
-        /// The start of the node that it refused.
+        /// Incarnation of the node whose request it refused.
         node: NodeIncarnation,
-        /// How long, from when it was said.
+        /// Length of the back-off, from the time of the statement.
         duration: Duration,
     },
 }
 
-/// What upstreams said of themselves, by upstream.
+/// The known notices of all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamNotices {
-    upstreams: HashMap<UpstreamId, Statements>,
+    upstreams: HashMap<UpstreamId, KnownNotices>,
 }
 
+/// The notices of one upstream that are known.
 #[derive(Debug)]
-struct Statements {
+struct KnownNotices {
     service: ServiceName,
     rate: Option<StatedRate>,
     leaving_at: Option<MonotonicTime>,
-    back_offs: HashMap<NodeIncarnation, Rest>,
+    back_offs: HashMap<NodeIncarnation, BackOffPeriod>,
 }
 
+/// A back-off that an upstream requested from one node.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct BackOffPeriod {
     at: MonotonicTime,
     duration: Duration,
 }
 
-impl Rest {
+impl BackOffPeriod {
     fn until(self) -> MonotonicTime {
         self.at.saturating_add(self.duration)
     }
@@ -75,19 +79,20 @@
 
 #[derive(Debug)]
 struct StatedRate {
-    /// None once it names no limit any more.
+    /// The limit; absent once the upstream no longer states one.
     requests_per_s: Option<f64>,
     at: MonotonicTime,
 }
 
 impl UpstreamNotices {
-    /// Applies a notice, unless a later one is known; says whether something else holds now.
+    /// Applies a notice; returns whether this changed what applies. A rate statement older than the known one, and a
+    /// back-off that ends before the known one, are ignored.
     pub(crate) fn apply(&mut self, now: MonotonicTime, notice: &UpstreamNotice) -> bool {
         let at = now.saturating_sub(notice.age);
         let known = self
             .upstreams
             .entry(notice.upstream.clone())
-            .or_insert_with(|| Statements {
+            .or_insert_with(|| KnownNotices {
                 service: notice.service.clone(),
                 rate: None,
                 leaving_at: None,
@@ -100,23 +105,23 @@
             NoticeKind::RateUnlimited => known.apply_rate(at, None),
             NoticeKind::Leaving => known.leaving_at.replace(at).is_none(),
             NoticeKind::BackOff { node, duration } => {
-                known.apply_rest(now, node, Rest { at, duration })
+                known.apply_back_off(now, node, BackOffPeriod { at, duration })
             }
         }
     }
 
-    /// Requests a second that an upstream takes, if it named a limit.
+    /// Returns the rate limit of an upstream, in requests per second, if it stated one.
     pub(crate) fn rate_limit(&self, upstream: &UpstreamId) -> Option<f64> {
         self.upstreams.get(upstream)?.rate_limit()
     }
 
-    /// Whether an upstream said that it leaves.
+    /// Whether an upstream announced that it is leaving.
     pub(crate) fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         let known = self.upstreams.get(upstream);
         known.is_some_and(|known| known.leaving_at.is_some())
     }
 
-    /// Until when an upstream wants no requests of which nodes.
+    /// Returns the nodes from which an upstream requested a back-off, with the end of each.
     pub(crate) fn back_offs(
         &self,
         upstream: &UpstreamId,
@@ -124,10 +129,10 @@
         let known = self.upstreams.get(upstream).into_iter();
         known
             .flat_map(|known| &known.back_offs)
-            .map(|(node, rest)| (*node, rest.until()))
+            .map(|(node, back_off)| (*node, back_off.until()))
     }
 
-    /// Until when an upstream wants no requests of a node.
+    /// Returns the end of the back-off that an upstream requested from a node, or zero if there is none.
     pub(crate) fn back_off_until(
         &self,
         upstream: &UpstreamId,
@@ -135,25 +140,26 @@
     ) -> MonotonicTime {
         let mut back_offs = self.back_offs(upstream);
         back_offs
-            .find(|(resting, _)| *resting == node)
+            .find(|(backed_off, _)| *backed_off == node)
             .map_or(Duration::ZERO, |(_, until)| until)
     }
 
-    /// Forgets what was said long ago by upstreams that are not listed any more, or no longer holds.
+    /// Drops notices that are older than [`NOTICE_MEMORY`] if their upstream is no longer listed or they no longer
+    /// apply.
     ///
-    /// An entry may lapse and return while its upstream runs on.
+    /// Recent notices are kept, since a registry entry may expire and return while its upstream keeps running.
     pub(crate) fn forget_old(
         &mut self,
         now: MonotonicTime,
         is_listed: impl Fn(&UpstreamId) -> bool,
     ) {
         self.upstreams.retain(|upstream, known| {
-            let is_recent = now.saturating_sub(known.last_at()) < NOTICE_MEMORY;
-            is_recent || (known.holds(now) && is_listed(upstream))
+            let is_recent = now.saturating_sub(known.latest_at()) < NOTICE_MEMORY;
+            is_recent || (known.is_in_effect(now) && is_listed(upstream))
         });
     }
 
-    /// What another node has to know, the latest first.
+    /// Returns up to [`MAX_NOTICES_SHARED`] notices that other nodes have to know, the latest first.
     pub(crate) fn to_share(&self, now: MonotonicTime) -> Vec<UpstreamNotice> {
         let mut notices: Vec<_> = self
             .upstreams
@@ -166,8 +172,8 @@
     }
 }
 
-impl Statements {
-    /// Applies a rate limit, or the end of one, unless a later one is known.
+impl KnownNotices {
+    /// Applies a rate limit, or the end of one, unless a later statement is known; returns whether the limit changed.
     fn apply_rate(&mut self, at: MonotonicTime, requests_per_s: Option<f64>) -> bool {
         if self.rate.as_ref().is_some_and(|known| at < known.at) {
             return false;
@@ -177,14 +183,19 @@
         before != requests_per_s
     }
 
-    /// Applies a time of rest, unless a longer one is known; those that are over are forgotten.
-    fn apply_rest(&mut self, now: MonotonicTime, node: NodeIncarnation, rest: Rest) -> bool {
+    /// Applies a back-off, unless a known one ends later; drops those that are over. Returns whether it applies.
+    fn apply_back_off(
+        &mut self,
+        now: MonotonicTime,
+        node: NodeIncarnation,
+        back_off: BackOffPeriod,
+    ) -> bool {
         self.back_offs.retain(|_, known| known.until() > now);
         let known = self.back_offs.get(&node).map(|known| known.until());
-        if rest.until() <= known.unwrap_or(now) {
+        if back_off.until() <= known.unwrap_or(now) {
             return false;
         }
-        self.back_offs.insert(node, rest);
+        self.back_offs.insert(node, back_off);
         true
     }
 
@@ -192,19 +203,19 @@
         self.rate.as_ref()?.requests_per_s
     }
 
-    /// Whether anything of it still binds.
-    fn holds(&self, now: MonotonicTime) -> bool {
+    /// Whether any of the notices still applies.
+    fn is_in_effect(&self, now: MonotonicTime) -> bool {
         let mut back_offs = self.back_offs.values();
         self.rate_limit().is_some()
             || self.leaving_at.is_some()
-            || back_offs.any(|rest| rest.until() > now)
+            || back_offs.any(|back_off| back_off.until() > now)
     }
 
-    fn last_at(&self) -> MonotonicTime {
+    fn latest_at(&self) -> MonotonicTime {
         let rate_at = self.rate.as_ref().map(|rate| rate.at);
-        let rest_at = self.back_offs.values().map(|rest| rest.at).max();
-        let last = rate_at.max(self.leaving_at).max(rest_at);
-        last.unwrap_or_default()
+        let back_off_at = self.back_offs.values().map(|back_off| back_off.at).max();
+        let latest = rate_at.max(self.leaving_at).max(back_off_at);
+        latest.unwrap_or_default()
     }
 
     fn notices(&self, now: MonotonicTime, upstream: &UpstreamId) -> Vec<UpstreamNotice> {
@@ -223,10 +234,13 @@
             notice(kind, rate.at)
         });
         let leaving = self.leaving_at.map(|at| notice(NoticeKind::Leaving, at));
-        let back_offs = self.back_offs.iter().filter(|(_, rest)| rest.until() > now);
-        let back_offs = back_offs.map(|(node, rest)| {
-            let (node, duration) = (*node, rest.duration);
-            notice(NoticeKind::BackOff { node, duration }, rest.at)
+        let back_offs = self
+            .back_offs
+            .iter()
+            .filter(|(_, back_off)| back_off.until() > now);
+        let back_offs = back_offs.map(|(node, back_off)| {
+            let (node, duration) = (*node, back_off.duration);
+            notice(NoticeKind::BackOff { node, duration }, back_off.at)
         });
         rate.into_iter().chain(leaving).chain(back_offs).collect()
     }
--- a/crates/dragonflystep_dispatch/src/ownership.rs
+++ b/crates/dragonflystep_dispatch/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Which node owns a service: the first by weighted rendezvous hash among the members that one sees.
+//! Chooses the node that owns a service, by weighted rendezvous hashing over the members that a node sees.
 //!
-//! Nothing is agreed on: two nodes with different views may name different owners for a moment. Each owner
-//! keeps the limits by itself, and upstreams refuse what is too much, so that nothing waits for a lease.
+//! There is no agreement protocol: two nodes with different views may choose different owners for a moment. Each owner
+//! enforces the limits on its own, and upstreams refuse excess requests, so that no request has to wait for a lease.
 
 use {
     crate::ids::NodeName,
@@ -11,16 +11,16 @@
     },
 };
 
-/// A node as far as ownership is concerned.
+/// A node that may own services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeName,
-    /// Its processor share; a larger node owns more.
+    /// The node's CPU share; a node with a larger share owns more services.
     pub weight: f64,
 }
 
-/// Members in the order in which they own `service`, the owner first.
+/// Returns the members in the order in which they would own `service`, the owner first.
 ///
 /// # Examples
 /// ```
@@ -31,7 +31,7 @@
 ///     .into();
 /// let ranked = rank_owners("search", &members);
 /// let others: Vec<Member> = members.iter().filter(|m| m.node != ranked[0]).cloned().collect();
-/// // When the owner goes, the next by rank takes over, for every node that sees it gone.
+/// // When the owner leaves, the next member in the order takes over, for every node that sees the owner gone.
 /// assert_eq!(rank_owners("search", &others)[0], ranked[1]);
 /// ```
 pub fn rank_owners(service: &str, members: &[Member]) -> Vec<NodeName> {
@@ -47,20 +47,20 @@
     scored.into_iter().map(|(_, node)| node.clone()).collect()
 }
 
-/// Weighted rendezvous score; larger goes first.
+/// Returns the weighted rendezvous score; the member with the largest score is the owner.
 fn score(service: &str, member: &Member) -> f64 {
     let mut hasher = DefaultHasher::new();
     service.hash(&mut hasher);
     member.node.hash(&mut hasher);
-    // 53 bits make an exact fraction strictly between 0 and 1.
+    // 53 bits give an exact fraction strictly between 0 and 1.
     let fraction = ((hasher.finish() >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -member.weight.max(f64::MIN_POSITIVE) / fraction.ln()
 }
 
-/// Share of the limits common to all nodes that this node's part of the members may use.
+/// Returns the share of the limits common to all nodes that this node's network partition may use.
 ///
-/// A part with most of the members uses the limits whole; any other part uses a share that leaves room
-/// for the rest, so that all parts together stay close to the limit.
+/// A partition with a majority of the members uses the limits in full. Any other partition uses a small share, so that
+/// all partitions together stay close to the limits.
 ///
 /// # Examples
 /// ```
@@ -74,25 +74,25 @@
     if visibility.is_majority() {
         return 1.0;
     }
-    crate::limits::MINORITY_QUOTA_SHARE * visibility.fraction()
+    crate::limits::MINORITY_LIMIT_SHARE * visibility.fraction()
 }
 
-/// How many of the system's nodes one sees, itself included.
+/// How many of the listed nodes a node sees, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Visibility {
-    /// Nodes that are seen.
+    /// Number of nodes that are visible.
     pub visible: usize,
-    /// Nodes that are listed.
+    /// Number of nodes that are listed.
     pub known: usize,
 }
 
 impl Visibility {
-    /// Whether most of the nodes are seen.
+    /// Whether more than half of the listed nodes are visible.
     pub fn is_majority(self) -> bool {
         self.visible * 2 > self.known
     }
 
-    /// The part of the nodes that is seen.
+    /// Returns the visible fraction of the listed nodes.
     pub fn fraction(self) -> f64 {
         self.visible as f64 / self.known.max(1) as f64
     }
--- a/crates/dragonflystep_dispatch/src/pacer.rs
+++ b/crates/dragonflystep_dispatch/src/pacer.rs
@@ -1,50 +1,51 @@
-//! Keeps the requests to an upstream to a rate.
+//! Limits the rate of requests to an upstream with a token bucket.
 //!
-//! The load it answers: far more requests than an upstream in trouble takes. It begins without a permit: whoever learns of a
-//! limit may follow on another owner that has just used the rate up.
+//! It is designed for upstreams in trouble that state a rate far below that of the waiting requests. The bucket begins
+//! empty, since another owner may have used up the rate just before this one learned of the limit.
 
 use crate::{
     ids::MonotonicTime,
     limits::{MIN_TRIAL_RATE_PER_S, PACED_BURST_S},
 };
 
-/// Permits that accrue at a rate, of which each request takes one.
+/// A token bucket: permits accrue at a rate, and each request takes one.
 #[derive(Debug)]
 pub(crate) struct RequestPacer {
-    stated_per_s: f64,
-    /// Part of the rate that this owner may use.
+    /// The rate limit that the upstream stated for all nodes together, in requests per second.
+    limit_per_s: f64,
+    /// Share of that limit that this owner may use.
     share: f64,
     permits: f64,
     at: MonotonicTime,
 }
 
 impl RequestPacer {
-    pub(crate) fn new(now: MonotonicTime, stated_per_s: f64, share: f64) -> Self {
+    pub(crate) fn new(now: MonotonicTime, limit_per_s: f64, share: f64) -> Self {
         Self {
-            stated_per_s,
+            limit_per_s,
             share,
             permits: 0.0,
             at: now,
         }
     }
 
-    /// Goes on at another rate.
-    pub(crate) fn set_rate(&mut self, now: MonotonicTime, stated_per_s: f64) {
+    /// Changes the stated rate limit; accrued permits are kept.
+    pub(crate) fn set_rate(&mut self, now: MonotonicTime, limit_per_s: f64) {
         self.accrue(now);
-        self.stated_per_s = stated_per_s;
+        self.limit_per_s = limit_per_s;
     }
 
-    /// Goes on with another part of the rate.
+    /// Changes the share of the limit; accrued permits are kept.
     pub(crate) fn set_share(&mut self, now: MonotonicTime, share: f64) {
         self.accrue(now);
         self.share = share;
     }
 
-    /// Requests a second that this owner may send.
+    /// Returns the requests per second that this owner may send.
     ///
-    /// Only an answer shows that a limit is over, so that it is never zero.
+    /// The stated limit counts as at least [`MIN_TRIAL_RATE_PER_S`], since only answers show that a limit is over.
     pub(crate) fn requests_per_s(&self) -> f64 {
-        self.stated_per_s.max(MIN_TRIAL_RATE_PER_S) * self.share
+        self.limit_per_s.max(MIN_TRIAL_RATE_PER_S) * self.share
     }
 
     pub(crate) fn has_permit(&self, now: MonotonicTime) -> bool {
@@ -63,7 +64,7 @@
 
     fn permits_at(&self, now: MonotonicTime) -> f64 {
         let passed_s = now.saturating_sub(self.at).as_secs_f64();
-        let most = (self.requests_per_s() * PACED_BURST_S).max(1.0);
-        (self.permits + self.requests_per_s() * passed_s).min(most)
+        let max_permits = (self.requests_per_s() * PACED_BURST_S).max(1.0);
+        (self.permits + self.requests_per_s() * passed_s).min(max_permits)
     }
 }
--- a/crates/dragonflystep_dispatch/src/placement.rs
+++ b/crates/dragonflystep_dispatch/src/placement.rs
@@ -1,17 +1,17 @@
-//! Chooses the upstream for a request.
+//! Chooses the upstream for a request by predicted cost.
 //!
-//! The load it answers: prompts of very unlike length on engines of very unlike speed, nearly all places
-//! taken. The least loaded engine by count is then often the slowest one, and a long prompt read between
-//! the tokens of others lengthens the pauses of all of them beyond what is permitted. So the choice goes
-//! by the predicted first event, by the pause that the prompt causes to those who run there, and by the time
-//! for which the run holds its place.
+//! It is designed for prompts of very different lengths on engines of very different speeds, with nearly all slots
+//! taken. The engine with the fewest runs is then often the slowest one. A long prompt that an engine prefills between
+//! the decode steps of other runs lengthens their pauses beyond what is permitted. So the choice depends on the
+//! predicted time to the first event, on the pause that the prompt causes in running streams, and on the time for which
+//! the run holds its slot.
 
 use {
     crate::{
         ids::{MonotonicTime, node_incarnation_of},
         limits::{
-            FAILURE_PENALTY_MS, FIRST_EVENT_BASE_MS, MINORITY_COST_SPREAD, OTHER_DATA_CENTRE_MS,
-            PAUSE_HEADROOM, PREFILL_CHUNK_TOKENS, RUN_COST_SHARE,
+            FAILURE_PENALTY_MS, FIRST_EVENT_BASE_MS, MAX_PREDICTED_PAUSE_SHARE,
+            MINORITY_COST_SPREAD, OTHER_DATA_CENTRE_COST_MS, PREFILL_CHUNK_TOKENS, RUN_COST_SHARE,
         },
         messages::SlotRequest,
         speed::RouteAverages,
@@ -23,31 +23,33 @@
     },
 };
 
-/// What a placement leads to.
+/// Predicted consequences of placing a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Prediction {
-    /// When the first event or the whole plain answer is there.
+    /// When the first event of a stream, or the whole answer of a plain call, arrives.
     pub(crate) first_event_at: MonotonicTime,
-    /// When the run ends.
+    /// When the run ends and frees its slot.
     pub(crate) end_at: MonotonicTime,
-    /// Tokens to be read before the first event.
+    /// Tokens that the engine has to prefill before the first event, including the backlog of earlier runs.
     pub(crate) prefill_backlog_tokens: f64,
-    /// Whether all who are concerned stay within their objectives.
+    /// Whether the request meets its objective and the streams at the upstream stay within their permitted pauses.
     pub(crate) is_on_time: bool,
-    /// What is compared, in milliseconds.
+    /// Cost by which upstreams are compared, in milliseconds; lower is better.
     cost_ms: f64,
 }
 
-/// Facts about the service that predictions need.
+/// Facts about a service that predictions need.
 #[derive(Clone, Copy)]
 pub(crate) struct ServiceModel<'a> {
     pub(crate) averages: &'a RouteAverages,
     pub(crate) tokens_per_event: u32,
-    /// Whether requests are spread over upstreams of like cost.
-    pub(crate) spreads: bool,
+    /// Whether costs are varied at random, so that requests spread over upstreams of similar cost.
+    pub(crate) spread_costs: bool,
 }
 
-/// The best of the `free` upstreams for `ask`: its index and what is predicted.
+/// Returns the index of the best of the `free` upstreams for `request`, with its prediction.
+///
+/// Upstreams where the prediction is on time are preferred, then those with the lowest cost.
 pub(crate) fn choose(
     now: MonotonicTime,
     request: &SlotRequest,
@@ -59,10 +61,10 @@
     let mut best: Option<(usize, Prediction)> = None;
     for &index in free {
         let upstream = &upstreams[index];
-        let is_refused = upstream
+        let is_backed_off = upstream
             .requested_back_off
-            .is_wanted_from(now, node_incarnation_of(request.run));
-        if is_refused || request.avoid.contains(&upstream.entry.id) {
+            .applies_to(now, node_incarnation_of(request.run));
+        if is_backed_off || request.avoid.contains(&upstream.entry.id) {
             continue;
         }
         let prediction = predict(now, request, objective_left, upstream, model);
@@ -76,7 +78,7 @@
     best
 }
 
-/// What would come of placing `ask` at `upstream` now.
+/// Predicts the consequences of placing `request` at `upstream` now.
 pub(crate) fn predict(
     now: MonotonicTime,
     request: &SlotRequest,
@@ -95,17 +97,17 @@
         + run_ms * RUN_COST_SHARE
         + load * upstream.speed.ms_per_event
         + upstream.failure_rate * FAILURE_PENALTY_MS;
-    if upstream.requested_back_off.is_on_trial() {
+    if upstream.requested_back_off.awaits_acceptance() {
         prediction.cost_ms += FAILURE_PENALTY_MS;
     }
     if upstream.entry.data_centre != request.data_centre {
-        prediction.cost_ms += OTHER_DATA_CENTRE_MS;
+        prediction.cost_ms += OTHER_DATA_CENTRE_COST_MS;
     }
-    if model.spreads {
-        prediction.cost_ms *= 1.0 + MINORITY_COST_SPREAD * fraction(request, upstream);
+    if model.spread_costs {
+        prediction.cost_ms *= 1.0 + MINORITY_COST_SPREAD * random_fraction(request, upstream);
     }
     let is_in_time = prediction.first_event_at <= now + objective_left;
-    prediction.is_on_time = is_in_time && !lengthens_pauses(request, upstream, model);
+    prediction.is_on_time = is_in_time && !exceeds_pause_limit(request, upstream, model);
     prediction
 }
 
@@ -116,18 +118,18 @@
     model: ServiceModel<'_>,
 ) -> Prediction {
     let speed = &upstream.speed;
-    let ahead = upstream.prefill_done_at(now);
-    let own_tokens = unread_tokens(request, upstream);
+    let backlog_done_at = upstream.prefill_done_at(now);
+    let own_tokens = uncached_tokens(request, upstream);
     let first_event_at =
-        ahead + from_ms(FIRST_EVENT_BASE_MS + own_tokens * speed.prefill_ms_per_token);
-    let ahead_ms = to_ms(ahead.saturating_sub(now));
+        backlog_done_at + from_ms(FIRST_EVENT_BASE_MS + own_tokens * speed.prefill_ms_per_token);
+    let backlog_ms = to_ms(backlog_done_at.saturating_sub(now));
     let events = model
         .averages
         .events(&request.route, &request.size, model.tokens_per_event);
     Prediction {
         first_event_at,
         end_at: first_event_at + from_ms(events * speed.ms_per_event),
-        prefill_backlog_tokens: own_tokens + ahead_ms / speed.prefill_ms_per_token,
+        prefill_backlog_tokens: own_tokens + backlog_ms / speed.prefill_ms_per_token,
         is_on_time: false,
         cost_ms: 0.0,
     }
@@ -150,13 +152,16 @@
     }
 }
 
-fn unread_tokens(request: &SlotRequest, upstream: &LiveUpstream) -> f64 {
+/// Returns the prompt tokens that the upstream's prefix cache does not hold.
+fn uncached_tokens(request: &SlotRequest, upstream: &LiveUpstream) -> f64 {
     let cached = upstream.prefix_cache.cached_tokens(&request.size.segments);
     f64::from(request.size.prompt_tokens.saturating_sub(cached))
 }
 
-/// Whether reading the prompt makes some stream at the upstream, or this one's neighbours, pause too long.
-fn lengthens_pauses(
+/// Whether prefilling the prompt predictably makes a stream at the upstream pause longer than permitted.
+///
+/// The strictest limit among the running streams applies, or the request's own limit if only plain calls run there.
+fn exceeds_pause_limit(
     request: &SlotRequest,
     upstream: &LiveUpstream,
     model: ServiceModel<'_>,
@@ -167,21 +172,21 @@
     if upstream.runs.is_empty() {
         return false;
     }
-    let chunks_tokens = PREFILL_CHUNK_TOKENS * f64::from(model.tokens_per_event);
-    let read_tokens = unread_tokens(request, upstream).min(chunks_tokens);
+    let event_chunk_tokens = PREFILL_CHUNK_TOKENS * f64::from(model.tokens_per_event);
+    let prefill_tokens = uncached_tokens(request, upstream).min(event_chunk_tokens);
     let speed = &upstream.speed;
-    let pause_ms = speed.ms_per_event + read_tokens * speed.prefill_ms_per_token;
-    let strictest = upstream
+    let pause_ms = speed.ms_per_event + prefill_tokens * speed.prefill_ms_per_token;
+    let strictest_limit = upstream
         .runs
         .values()
         .filter_map(|run| run.request.longest_pause)
         .min()
         .unwrap_or(own_limit);
-    pause_ms > to_ms(strictest) * PAUSE_HEADROOM
+    pause_ms > to_ms(strictest_limit) * MAX_PREDICTED_PAUSE_SHARE
 }
 
-/// A number from 0 to 1 that is fixed for a request and an upstream.
-fn fraction(request: &SlotRequest, upstream: &LiveUpstream) -> f64 {
+/// Returns a pseudo-random number from 0 to 1 that is the same each time for a run and an upstream.
+fn random_fraction(request: &SlotRequest, upstream: &LiveUpstream) -> f64 {
     let mut hasher = DefaultHasher::new();
     (request.run, &upstream.entry.id).hash(&mut hasher);
     (hasher.finish() >> 32) as f64 / f64::from(u32::MAX)
--- a/crates/dragonflystep_dispatch/src/pool.rs
+++ b/crates/dragonflystep_dispatch/src/pool.rs
@@ -1,4 +1,4 @@
-//! One service at its owner: its upstreams, its queue and what was measured.
+//! The state of one service at its owner: its upstreams, its queue, and what was learned from earlier runs.
 
 mod placing;
 mod refusing;
@@ -14,7 +14,7 @@
         catalogue::Engine,
         dispatcher::Effect,
         ids::{MonotonicTime, RunId, Tier},
-        limits::{DEFAULT_CACHE_TOKENS, MAX_PASSED_OVER, UNORDERED_VERSION_HOLD},
+        limits::{DEFAULT_CACHE_TOKENS, MAX_SKIPPED_REQUESTS, UNORDERED_VERSION_HOLD},
         messages::SlotRequest,
         notices::UpstreamNotices,
         queue::{QueuedRequest, WaitQueue},
@@ -28,24 +28,25 @@
     std::collections::{BTreeMap, HashMap, HashSet},
 };
 
-/// One service at its owner.
+/// The state of one service at its owner.
 #[derive(Debug, Default)]
 pub(crate) struct ServicePool {
     pub(crate) retries: RetryBudget,
     engine: Option<Engine>,
     upstreams: Vec<LiveUpstream>,
-    /// Runs at upstreams that left the registry; they still end.
+    /// Runs at upstreams that left the registry; their ends are still reported.
     unlisted_runs: HashMap<RunId, Run>,
     queue: WaitQueue,
     averages: RouteAverages,
     arrivals: ArrivalRates,
     refused: RefusedRequests,
+    /// Slots granted since the last summary.
     granted: u64,
-    /// Share of the places that this owner may use, if it sees no majority of the nodes.
-    places_share: Option<f64>,
-    /// Share of the limits common to all nodes that this owner may use; none is all of them.
-    limits_share: Option<f64>,
-    /// When each tier got its last place.
+    /// Share of the slots that this owner may use; absent if it sees a majority of the nodes and may use all.
+    slot_share: Option<f64>,
+    /// Share of the upstreams' rate limits that this owner may use; absent means all.
+    rate_limit_share: Option<f64>,
+    /// When each tier was last granted a slot.
     granted_at: BTreeMap<Tier, MonotonicTime>,
     rollout: Option<Rollout>,
     rollout_rules: RolloutRules,
@@ -56,31 +57,31 @@
         self.engine = engine;
     }
 
-    /// Takes over the registry's entries for this service.
+    /// Replaces the list of upstreams by the registry's entries for this service; known upstreams keep their state.
     pub(crate) fn set_upstreams(&mut self, now: MonotonicTime, entries: Vec<Upstream>) {
         let versions: HashSet<_> = self
             .upstreams
             .iter()
-            .map(|one| one.entry.version.clone())
+            .map(|upstream| upstream.entry.version.clone())
             .collect();
-        let mut before: HashMap<_, LiveUpstream> = self
+        let mut previous: HashMap<_, LiveUpstream> = self
             .upstreams
             .drain(..)
             .map(|upstream| (upstream.entry.id.clone(), upstream))
             .collect();
-        let joint = Speed::joint(before.values().map(|upstream| &upstream.speed));
+        let mean = Speed::mean(previous.values().map(|upstream| &upstream.speed));
         let cache_tokens = self
             .engine
             .map_or(DEFAULT_CACHE_TOKENS, |engine| engine.cache_tokens);
         for entry in entries {
-            let upstream = match before.remove(&entry.id) {
+            let upstream = match previous.remove(&entry.id) {
                 Some(mut known) => {
                     known.entry = entry;
                     known
                 }
                 None => {
                     let is_unordered = !versions.is_empty() && !versions.contains(&entry.version);
-                    let mut upstream = LiveUpstream::new(entry, joint, cache_tokens);
+                    let mut upstream = LiveUpstream::new(entry, mean, cache_tokens);
                     if is_unordered && self.rollout.is_none() {
                         upstream.extend_back_off(now + UNORDERED_VERSION_HOLD);
                     }
@@ -89,29 +90,29 @@
             };
             self.upstreams.push(upstream);
         }
-        for (_, gone) in before {
-            self.unlisted_runs.extend(gone.runs);
+        for (_, removed) in previous {
+            self.unlisted_runs.extend(removed.runs);
         }
         self.forget_replaced_rollout();
     }
 
-    /// Keeps to what upstreams said of themselves, whatever the registry says.
+    /// Applies the upstreams' own notices, which take precedence over the registry.
     pub(crate) fn apply_notices(&mut self, now: MonotonicTime, notices: &UpstreamNotices) {
-        let share = self.limits_share.unwrap_or(1.0);
+        let share = self.rate_limit_share.unwrap_or(1.0);
         for upstream in &mut self.upstreams {
             upstream.apply_notices(now, notices, share);
         }
     }
 
-    /// Uses another share of the limits common to all nodes from now on.
-    pub(crate) fn set_limits_share(&mut self, now: MonotonicTime, share: f64) {
-        self.limits_share = Some(share);
+    /// Changes the share of the upstreams' rate limits that this owner may use.
+    pub(crate) fn set_rate_limit_share(&mut self, now: MonotonicTime, share: f64) {
+        self.rate_limit_share = Some(share);
         for upstream in &mut self.upstreams {
             upstream.set_rate_share(now, share);
         }
     }
 
-    /// Whether nothing would be lost with it.
+    /// Whether the pool holds no state that would be lost if it were dropped.
     pub(crate) fn is_unused(&self) -> bool {
         self.engine.is_none()
             && self.upstreams.is_empty()
@@ -121,22 +122,22 @@
             && self.rollout.is_none()
     }
 
-    /// Places a new request, lets it wait or refuses it.
+    /// Handles a new request: grants it a slot, queues it or refuses it.
     pub(crate) fn enqueue(
         &mut self,
         now: MonotonicTime,
         mut request: SlotRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let earlier = self.refused.first_requested_at(now, request.fingerprint);
-        let first_requested_at = earlier.unwrap_or(now);
-        let has_returned = earlier.is_some();
-        let spent_before = now.saturating_sub(first_requested_at);
-        request.objective_left = request.objective_left.saturating_sub(spent_before);
-        let is_canary = self.note_for_rollout(&request);
-        let joint = self.joint_speed();
-        let (time_to_first_event, run_ms) = self.joint_durations(&request, joint);
-        let max_wait = longest_wait(&request, has_returned, time_to_first_event);
+        let previous_request_at = self.refused.first_requested_at(now, request.fingerprint);
+        let first_requested_at = previous_request_at.unwrap_or(now);
+        let was_refused = previous_request_at.is_some();
+        let elapsed = now.saturating_sub(first_requested_at);
+        request.objective_left = request.objective_left.saturating_sub(elapsed);
+        let is_canary = self.count_for_rollout(&request);
+        let mean = self.mean_speed();
+        let (time_to_first_event, run_ms) = self.durations_at_mean_speed(&request, mean);
+        let max_wait = longest_wait(&request, was_refused, time_to_first_event);
         let tier = request.tier;
         let is_late = request.objective_left < time_to_first_event;
         let wait = self.estimate_wait(now, tier, is_late, run_ms);
@@ -150,53 +151,53 @@
                 run_ms,
                 time_to_first_event,
                 first_requested_at,
-                has_returned,
+                was_refused,
                 is_canary,
                 request,
             },
         );
         self.place_waiting(now, effects);
-        let is_placed = effects.iter().any(|effect| effect.run == run);
-        if !is_placed && wait > max_wait && !self.serves_below(now, tier) {
+        let is_decided = effects.iter().any(|effect| effect.run == run);
+        if !is_decided && wait > max_wait && !self.granted_lower_tier_recently(now, tier) {
             self.refuse_waiting(now, run, wait, effects);
         }
     }
 
-    /// Gives places to those who wait, in order.
+    /// Grants free slots to waiting requests, in the order of the queue.
     pub(crate) fn place_waiting(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
         if self.queue.is_empty() {
             return;
         }
-        let mut room = self.room(now);
-        if room.free.is_empty() && room.canary.is_empty() {
+        let mut free_upstreams = self.free_upstreams(now);
+        if free_upstreams.main.is_empty() && free_upstreams.canary.is_empty() {
             return;
         }
         self.queue.sort(now);
-        let (mut index, mut passed_over) = (0, 0);
-        while index < self.queue.len() && passed_over < MAX_PASSED_OVER {
-            match self.choose_for(now, self.queue.get(index), &room) {
-                choice @ (Choice::Place(upstream, prediction)
-                | Choice::PlaceCanary(upstream, prediction)) => {
-                    if matches!(choice, Choice::PlaceCanary(..)) {
+        let (mut index, mut skipped) = (0, 0);
+        while index < self.queue.len() && skipped < MAX_SKIPPED_REQUESTS {
+            match self.choose_for(now, self.queue.get(index), &free_upstreams) {
+                choice @ (Choice::Grant(upstream, prediction)
+                | Choice::GrantCanary(upstream, prediction)) => {
+                    if matches!(choice, Choice::GrantCanary(..)) {
                         self.upstreams[upstream].canaries += 1;
                     }
-                    let waiting = self.queue.take(index);
-                    effects.push(self.grant(now, waiting.request, upstream, prediction));
-                    room = self.room(now);
-                    if room.free.is_empty() && room.canary.is_empty() {
+                    let queued = self.queue.take(index);
+                    effects.push(self.grant(now, queued.request, upstream, prediction));
+                    free_upstreams = self.free_upstreams(now);
+                    if free_upstreams.main.is_empty() && free_upstreams.canary.is_empty() {
                         return;
                     }
                 }
                 Choice::Wait => {
                     index += 1;
-                    passed_over += 1;
+                    skipped += 1;
                 }
             }
         }
     }
 
-    /// Takes a request out of the queue whose caller left.
+    /// Removes a request from the queue because its entry node no longer waits for a slot.
     pub(crate) fn withdraw(&mut self, run: RunId) -> Option<SlotRequest> {
-        self.queue.remove(run).map(|waiting| waiting.request)
+        self.queue.remove(run).map(|queued| queued.request)
     }
 }
--- a/crates/dragonflystep_dispatch/src/pool/placing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/placing.rs
@@ -1,11 +1,11 @@
-//! Where places may be given out, and giving one out.
+//! Finds upstreams with free slots, chooses one for a waiting request, and grants the slot.
 
 use {
     super::ServicePool,
     crate::{
         dispatcher::Effect,
         ids::MonotonicTime,
-        limits::CLEARLY_FASTER,
+        limits::CLEARLY_FASTER_RATIO,
         messages::{Grant, SlotDecision, SlotRequest},
         placement::{Prediction, ServiceModel, choose},
         queue::QueuedRequest,
@@ -13,44 +13,48 @@
     },
 };
 
-/// What is done with the request at the head of the queue.
+/// What is done with a waiting request in one pass over the queue.
 pub(super) enum Choice {
-    /// It goes to the upstream of this index.
-    Place(usize, Prediction),
-    /// It goes to the upstream of this index, which is of a new version.
-    PlaceCanary(usize, Prediction),
-    /// It waits, and the next one is looked at.
+    /// It gets a slot at the upstream with this index.
+    Grant(usize, Prediction),
+    /// It gets a slot as a canary, at the upstream of the new version with this index.
+    GrantCanary(usize, Prediction),
+    /// It keeps waiting, and the next request is considered.
     Wait,
 }
 
-/// Where places may be given out.
+/// Upstreams that have free slots now, as indices into the pool's list.
 pub(super) struct FreeUpstreams {
-    /// Upstreams with a free place.
-    pub(super) free: Vec<usize>,
-    /// Upstreams of a new version with a free place, for canaries only.
+    /// Upstreams that take all requests other than canaries.
+    pub(super) main: Vec<usize>,
+    /// Upstreams of the new version, for canaries only.
     pub(super) canary: Vec<usize>,
-    /// Reading speed of the fastest upstream that is full, in milliseconds a token.
-    pub(super) fastest_full: Option<f64>,
+    /// Prefill time of the fastest full upstream, in milliseconds per token; absent if none is full.
+    pub(super) fastest_full_ms_per_token: Option<f64>,
 }
 
 impl ServicePool {
-    /// Limits the places that are given out to a share of all, or takes the limit away.
+    /// Limits the slots that this owner uses to a share of all slots; `None` removes the limit.
     pub(crate) fn limit_slots(&mut self, share: Option<f64>) {
-        self.places_share = share;
+        self.slot_share = share;
     }
 
-    /// Where places may be given out now.
-    pub(super) fn room(&self, now: MonotonicTime) -> FreeUpstreams {
-        let mut room = FreeUpstreams {
-            free: Vec::new(),
-            canary: self.canary_room(now),
-            fastest_full: None,
+    /// Finds the upstreams that have free slots now.
+    pub(super) fn free_upstreams(&self, now: MonotonicTime) -> FreeUpstreams {
+        let mut free_upstreams = FreeUpstreams {
+            main: Vec::new(),
+            canary: self.free_canary_upstreams(now),
+            fastest_full_ms_per_token: None,
         };
-        if let Some(share) = self.places_share {
-            let places: u32 = self.upstreams.iter().map(LiveUpstream::slots).sum();
-            let running: usize = self.upstreams.iter().map(|one| one.runs.len()).sum();
-            if running as f64 >= (f64::from(places) * share).ceil() {
-                return room;
+        if let Some(share) = self.slot_share {
+            let slots: u32 = self.upstreams.iter().map(LiveUpstream::slots).sum();
+            let running: usize = self
+                .upstreams
+                .iter()
+                .map(|upstream| upstream.runs.len())
+                .sum();
+            if running as f64 >= (f64::from(slots) * share).ceil() {
+                return free_upstreams;
             }
         }
         for (index, upstream) in self.upstreams.iter().enumerate() {
@@ -58,42 +62,46 @@
                 continue;
             }
             if upstream.has_free_slot(now) {
-                room.free.push(index);
+                free_upstreams.main.push(index);
             } else if upstream.is_usable(now) && upstream.has_permit(now) {
                 let speed = upstream.speed.prefill_ms_per_token;
-                let fastest = room.fastest_full.unwrap_or(f64::INFINITY);
-                room.fastest_full = Some(fastest.min(speed));
+                let fastest = free_upstreams
+                    .fastest_full_ms_per_token
+                    .unwrap_or(f64::INFINITY);
+                free_upstreams.fastest_full_ms_per_token = Some(fastest.min(speed));
             }
         }
-        if room.free.is_empty() && room.fastest_full.is_none() {
-            // All that are left rest for failures: some answers are better than none. Resting the only upstream
-            // would refuse every request of its service.
+        if free_upstreams.main.is_empty() && free_upstreams.fastest_full_ms_per_token.is_none() {
+            // No upstream is usable. Upstreams that are backed off may still answer part of the requests, while backing
+            // off the only upstream of a service would refuse all of its requests.
             let upstreams = self.upstreams.iter().enumerate();
-            let in_need = upstreams.filter(|(_, upstream)| {
+            let fallback = upstreams.filter(|(_, upstream)| {
                 self.takes_main_traffic(upstream) && upstream.has_fallback_slot(now)
             });
-            room.free.extend(in_need.map(|(index, _)| index));
+            free_upstreams.main.extend(fallback.map(|(index, _)| index));
         }
-        room
+        free_upstreams
     }
 
+    /// Returns the facts about the service that predictions need.
     pub(super) fn model(&self) -> ServiceModel<'_> {
         ServiceModel {
             averages: &self.averages,
             tokens_per_event: self.engine.map_or(1, |engine| engine.tokens_per_event),
-            spreads: self.places_share.is_some(),
+            spread_costs: self.slot_share.is_some(),
         }
     }
 
+    /// Chooses an upstream for a queued request, or lets it wait for a better one.
     pub(super) fn choose_for(
         &self,
         now: MonotonicTime,
         waiting: &QueuedRequest,
-        room: &FreeUpstreams,
+        free_upstreams: &FreeUpstreams,
     ) -> Choice {
         let objective_left = waiting.objective_left(now);
-        if waiting.is_canary && !room.canary.is_empty() {
-            let (request, canary) = (&waiting.request, &room.canary);
+        if waiting.is_canary && !free_upstreams.canary.is_empty() {
+            let (request, canary) = (&waiting.request, &free_upstreams.canary);
             let found = choose(
                 now,
                 request,
@@ -103,7 +111,7 @@
                 self.model(),
             );
             if let Some((index, prediction)) = found {
-                return Choice::PlaceCanary(index, prediction);
+                return Choice::GrantCanary(index, prediction);
             }
         }
         let found = choose(
@@ -111,26 +119,32 @@
             &waiting.request,
             objective_left,
             &self.upstreams,
-            &room.free,
+            &free_upstreams.main,
             self.model(),
         );
         let Some((index, prediction)) = found else {
             return Choice::Wait;
         };
-        // A place where it would be late is left to others as long as a better one may come in time.
-        if prediction.is_on_time || waiting.is_late(now) || !self.has_better(room, index) {
-            return Choice::Place(index, prediction);
+        // A request that could still be on time does not take a slot where it would be late while a clearly faster
+        // upstream may become free; other requests may take that slot.
+        if prediction.is_on_time
+            || waiting.is_late(now)
+            || !self.has_faster_full_upstream(free_upstreams, index)
+        {
+            return Choice::Grant(index, prediction);
         }
         Choice::Wait
     }
 
-    /// Whether some busy upstream is clearly faster than the one at `index`.
-    fn has_better(&self, room: &FreeUpstreams, index: usize) -> bool {
+    /// Whether some full upstream is clearly faster than the one at `index`.
+    fn has_faster_full_upstream(&self, free_upstreams: &FreeUpstreams, index: usize) -> bool {
         let chosen = self.upstreams[index].speed.prefill_ms_per_token;
-        room.fastest_full
-            .is_some_and(|fastest| fastest < chosen * CLEARLY_FASTER)
+        free_upstreams
+            .fastest_full_ms_per_token
+            .is_some_and(|fastest| fastest < chosen * CLEARLY_FASTER_RATIO)
     }
 
+    /// Grants a slot at the upstream with this index and starts the run.
     pub(super) fn grant(
         &mut self,
         now: MonotonicTime,
@@ -146,7 +160,7 @@
         let run = request.run;
         self.granted += 1;
         self.granted_at.insert(request.tier, now);
-        self.upstreams[index].note_sent(now);
+        self.upstreams[index].record_sent(now);
         self.start_run(now, request, index, prediction);
         Effect {
             run,
@@ -154,6 +168,7 @@
         }
     }
 
+    /// Records a run at the upstream with this index, with its predicted times.
     pub(super) fn start_run(
         &mut self,
         at: MonotonicTime,
--- a/crates/dragonflystep_dispatch/src/pool/rolling.rs
+++ b/crates/dragonflystep_dispatch/src/pool/rolling.rs
@@ -1,4 +1,4 @@
-//! A service's side of a roll-out: which upstreams get which requests, and what their runs show.
+//! A service's part in a roll-out: which upstreams get which requests, and what their runs show about their version.
 
 use {
     super::ServicePool,
@@ -16,7 +16,7 @@
 };
 
 impl ServicePool {
-    /// Takes over an order; one of the same number may have another end.
+    /// Starts the roll-out of an order, or updates it if the order is known already; its end may have changed.
     pub(crate) fn order_rollout(
         &mut self,
         now: MonotonicTime,
@@ -28,13 +28,14 @@
             Some(rollout)
                 if rollout.order().to == order.to && rollout.order().number == order.number =>
             {
-                rollout.renew(order);
+                rollout.update_order(order);
             }
             _ => self.rollout = Some(Rollout::new(now, order, self.canary_group())),
         }
     }
 
-    /// Canaries that are sent together. Runs of engines are long, so that they meet one another anyway.
+    /// Returns the number of canaries that are sent together, so that they load an upstream fully. For engines it is
+    /// one: their runs are long enough to overlap anyway.
     fn canary_group(&self) -> u32 {
         let slots = self.upstreams.iter().map(LiveUpstream::slots).max();
         if self.engine.is_some() {
@@ -43,7 +44,7 @@
         slots.unwrap_or(1)
     }
 
-    /// Takes over what was decided of an order elsewhere.
+    /// Applies a decision about an order that was made elsewhere.
     pub(crate) fn settle_rollout(&mut self, number: u64, phase: RolloutPhase) {
         if let Some(rollout) = self
             .rollout
@@ -53,18 +54,18 @@
         }
     }
 
-    /// Forgets an order that the operator has withdrawn.
+    /// Drops the roll-out whose order the operator withdrew.
     pub(crate) fn withdraw_rollout(&mut self) {
         self.rollout = None;
     }
 
-    /// Goes on with a roll-out where it is time; returns the steps that others have to learn of.
+    /// Advances the roll-out if it is due; returns the steps that have to be published.
     pub(crate) fn advance_rollout(&mut self, now: MonotonicTime) -> Vec<RolloutStep> {
         let rollout = self.rollout.as_ref();
         if !rollout.is_some_and(|rollout| rollout.is_due(now)) {
             return Vec::new();
         }
-        self.note_overdue(now);
+        self.record_overdue_runs(now);
         let inputs = self.rollout_inputs(now);
         let Some(rollout) = self.rollout.take() else {
             return Vec::new();
@@ -75,21 +76,22 @@
     }
 
     fn rollout_inputs(&self, now: MonotonicTime) -> RolloutInputs {
-        let is_new = |one: &&LiveUpstream| self.is_of_new_version(one);
+        let is_new = |upstream: &&LiveUpstream| self.is_of_new_version(upstream);
         let new_ready = self
             .upstreams
             .iter()
             .filter(is_new)
-            .filter(|one| one.entry.phase == UpstreamPhase::Ready);
+            .filter(|upstream| upstream.entry.phase == UpstreamPhase::Ready);
         RolloutInputs {
             now,
             new_upstreams: new_ready.count(),
-            may_decide: self.places_share.is_none(),
+            may_decide: self.slot_share.is_none(),
         }
     }
 
-    /// Counts runs that take far too long, at both versions; their callers may wait until their time is over.
-    fn note_overdue(&mut self, now: MonotonicTime) {
+    /// Counts runs that are long overdue as failed, at both versions. Their ends may come much later, since callers may
+    /// wait until they time out.
+    fn record_overdue_runs(&mut self, now: MonotonicTime) {
         let Some(rollout) = &mut self.rollout else {
             return;
         };
@@ -110,69 +112,70 @@
         rollout.is_some_and(|rollout| rollout.is_new(&upstream.entry.version))
     }
 
-    /// Whether requests that are no canaries may go to an upstream.
+    /// Whether requests other than canaries may go to an upstream.
     pub(super) fn takes_main_traffic(&self, upstream: &LiveUpstream) -> bool {
         let rollout = self.rollout.as_ref();
         rollout.is_none_or(|rollout| rollout.takes_main_traffic(&upstream.entry.version))
     }
 
-    /// Forgets a roll-out that was completed once its version is gone: what came after it came without an order.
+    /// Drops a completed roll-out once its version is gone: the version that replaced it was started without an order.
     pub(super) fn forget_replaced_rollout(&mut self) {
         let is_completed = |rollout: &mut Rollout| rollout.phase() == RolloutPhase::Completed;
         let Some(rollout) = self.rollout.take_if(is_completed) else {
             return;
         };
-        let is_there = |one: &LiveUpstream| rollout.is_new(&one.entry.version);
-        if self.upstreams.is_empty() || self.upstreams.iter().any(is_there) {
+        let has_new_version = |upstream: &LiveUpstream| rollout.is_new(&upstream.entry.version);
+        if self.upstreams.is_empty() || self.upstreams.iter().any(has_new_version) {
             self.rollout = Some(rollout);
         }
     }
 
-    /// Counts a request; says whether it is to be a canary.
-    pub(super) fn note_for_rollout(&mut self, request: &SlotRequest) -> bool {
-        // Who sees no majority decides nothing, and a request that failed before is not put at risk again.
-        let may_be = request.attempt == 0 && self.places_share.is_none();
+    /// Counts a request for the roll-out; returns whether it becomes a canary.
+    pub(super) fn count_for_rollout(&mut self, request: &SlotRequest) -> bool {
+        // An owner that sees no majority cannot decide the roll-out, so it sends no canaries. A request that failed
+        // before is not exposed to another risk.
+        let is_eligible = request.attempt == 0 && self.slot_share.is_none();
         let rules = self.rollout_rules;
         let rollout = self.rollout.as_mut();
-        rollout.is_some_and(|rollout| rollout.admit_canary(&request.route, rules, may_be))
+        rollout.is_some_and(|rollout| rollout.admit_canary(&request.route, rules, is_eligible))
     }
 
-    /// Upstreams of the new version that have room for canaries.
-    pub(super) fn canary_room(&self, now: MonotonicTime) -> Vec<usize> {
+    /// Returns the upstreams of the new version that get the next canaries and have a free slot.
+    pub(super) fn free_canary_upstreams(&self, now: MonotonicTime) -> Vec<usize> {
         if !self.rollout.as_ref().is_some_and(Rollout::sends_canaries) {
             return Vec::new();
         }
         let upstreams = self.upstreams.iter().enumerate();
-        let new = upstreams.filter(|(_, one)| self.is_of_new_version(one));
-        let tried = new
-            .filter(|(_, one)| one.entry.phase == UpstreamPhase::Ready)
+        let new = upstreams.filter(|(_, upstream)| self.is_of_new_version(upstream));
+        let candidates = new
+            .filter(|(_, upstream)| upstream.entry.phase == UpstreamPhase::Ready)
             .take(ROLLOUT_CANARY_UPSTREAMS);
-        let free: Vec<_> = tried
-            .filter(|(_, one)| one.has_free_slot(now))
-            .map(|(index, one)| (index, one.canary_turn()))
+        let free: Vec<_> = candidates
+            .filter(|(_, upstream)| upstream.has_free_slot(now))
+            .map(|(index, upstream)| (index, upstream.canary_order()))
             .collect();
-        let first = free.iter().map(|(_, turn)| *turn).min();
-        let next = free.iter().filter(|(_, turn)| Some(*turn) == first);
+        let first = free.iter().map(|(_, order)| *order).min();
+        let next = free.iter().filter(|(_, order)| Some(*order) == first);
         next.map(|(index, _)| *index).collect()
     }
 
-    /// The speed of the upstreams to which requests go that are no canaries.
-    pub(super) fn joint_speed(&self) -> Speed {
+    /// Returns the mean speed of the upstreams that take requests other than canaries.
+    pub(super) fn mean_speed(&self) -> Speed {
         let main = self
             .upstreams
             .iter()
-            .filter(|one| self.takes_main_traffic(one));
-        Speed::joint(main.map(|one| &one.speed))
+            .filter(|upstream| self.takes_main_traffic(upstream));
+        Speed::mean(main.map(|upstream| &upstream.speed))
     }
 
-    /// Adds what a run showed of its version.
-    pub(super) fn observe_for_rollout(&mut self, index: usize, run: &Run, ended: &RunReport) {
+    /// Adds the outcome and duration of a run to the evidence about its version.
+    pub(super) fn observe_for_rollout(&mut self, index: usize, run: &Run, report: &RunReport) {
         if run.is_overdue || !self.rollout.as_ref().is_some_and(Rollout::is_undecided) {
             return;
         }
-        let expected_ms = self.expected_ms(&run.request, ended);
-        let took_ms = ended.to_end.as_secs_f64() * 1e3;
-        let Some(sample) = sample_of(ended.outcome, took_ms, expected_ms) else {
+        let expected_ms = self.expected_ms(&run.request, report);
+        let took_ms = report.to_end.as_secs_f64() * 1e3;
+        let Some(sample) = sample_of(report.outcome, took_ms, expected_ms) else {
             return;
         };
         let entry = &self.upstreams[index].entry;
@@ -181,17 +184,18 @@
         }
     }
 
-    /// Milliseconds that a run with so many events takes at an upstream of the old version with nothing else to do.
-    fn expected_ms(&self, request: &SlotRequest, ended: &RunReport) -> f64 {
+    /// Predicts the duration of a run with the reported number of events at an otherwise idle upstream of the old
+    /// version, in milliseconds.
+    fn expected_ms(&self, request: &SlotRequest, report: &RunReport) -> f64 {
         if request.longest_pause.is_none() {
             return self.averages.plain_ms(&request.route);
         }
         let old = self
             .upstreams
             .iter()
-            .filter(|one| !self.is_of_new_version(one));
-        let speed = Speed::joint(old.map(|one| &one.speed));
+            .filter(|upstream| !self.is_of_new_version(upstream));
+        let speed = Speed::mean(old.map(|upstream| &upstream.speed));
         let read_ms = f64::from(request.size.prompt_tokens) * speed.prefill_ms_per_token;
-        FIRST_EVENT_BASE_MS + read_ms + f64::from(ended.events) * speed.ms_per_event
+        FIRST_EVENT_BASE_MS + read_ms + f64::from(report.events) * speed.ms_per_event
     }
 }
--- a/crates/dragonflystep_dispatch/src/pool/runs.rs
+++ b/crates/dragonflystep_dispatch/src/pool/runs.rs
@@ -1,4 +1,5 @@
-//! What runs at the upstreams: its end, what it teaches, and runs that another owner granted.
+//! The runs at a service's upstreams: records how they end, learns from them, and adopts runs that another owner
+//! granted.
 
 use {
     super::ServicePool,
@@ -11,7 +12,7 @@
     },
 };
 
-/// What the end of a run means beyond its upstream.
+/// A finished run, with what the dispatcher needs for quotas and crash suspects.
 pub(crate) struct FinishedRun {
     pub(crate) request: SlotRequest,
     pub(crate) fingerprint: RequestFingerprint,
@@ -27,90 +28,95 @@
 }
 
 impl ServicePool {
-    /// Records what an upstream said of its load.
-    pub(crate) fn load_observed(&mut self, now: MonotonicTime, load: &UpstreamLoad) {
+    /// Records the load that an upstream reported.
+    pub(crate) fn record_load(&mut self, now: MonotonicTime, load: &UpstreamLoad) {
         let upstream = self
             .upstreams
             .iter_mut()
             .find(|upstream| upstream.entry.id == load.upstream);
         if let Some(upstream) = upstream {
-            upstream.note_load(now, load);
+            upstream.record_load(now, load);
         }
     }
 
-    /// Frees the place of a run that ended, and learns from it.
+    /// Frees the slot of a run that ended and learns from its outcome and durations.
     pub(crate) fn finish_run(
         &mut self,
         now: MonotonicTime,
-        ended: &RunReport,
+        report: &RunReport,
     ) -> Option<FinishedRun> {
         let Some(index) = self
             .upstreams
             .iter()
-            .position(|upstream| upstream.runs.contains_key(&ended.run))
+            .position(|upstream| upstream.runs.contains_key(&report.run))
         else {
-            return self.unlisted_runs.remove(&ended.run).map(FinishedRun::from);
+            return self
+                .unlisted_runs
+                .remove(&report.run)
+                .map(FinishedRun::from);
         };
         let may_back_off = self.may_back_off(index);
         let upstream = &mut self.upstreams[index];
-        let run = upstream.runs.remove(&ended.run)?;
-        upstream.note_outcome(now, ended.outcome, may_back_off);
-        self.observe_for_rollout(index, &run, ended);
+        let run = upstream.runs.remove(&report.run)?;
+        upstream.record_outcome(now, report.outcome, may_back_off);
+        self.observe_for_rollout(index, &run, report);
         let upstream = &mut self.upstreams[index];
-        if ended.outcome == RunOutcome::Completed {
+        if report.outcome == RunOutcome::Completed {
             self.refused.forget(run.request.fingerprint);
             match run.request.longest_pause {
                 Some(_) => {
                     upstream
                         .speed
-                        .learn_stream(ended, run.prefill_backlog_tokens);
-                    let raw_events = f64::from(run.request.size.output_tokens)
+                        .learn_stream(report, run.prefill_backlog_tokens);
+                    let expected_events = f64::from(run.request.size.output_tokens)
                         / f64::from(
                             self.engine
                                 .map_or(1, |engine| engine.tokens_per_event.max(1)),
                         );
                     self.averages
-                        .learn(&run.request.route, ended, Some(raw_events));
+                        .learn(&run.request.route, report, Some(expected_events));
                 }
                 None => {
                     let mean_ms = self.averages.plain_ms(&run.request.route);
-                    upstream.speed.learn_plain(ended, mean_ms);
-                    self.averages.learn(&run.request.route, ended, None);
+                    upstream.speed.learn_plain(report, mean_ms);
+                    self.averages.learn(&run.request.route, report, None);
                 }
             }
         }
         Some(run.into())
     }
 
-    /// Whether the upstream at `index` may rest for failed answers: one always may, beyond it only few.
+    /// Whether the upstream at `index` may be backed off for failed answers. One upstream always may, and otherwise at
+    /// most [`MAX_SUSPENDED_SHARE`] of the ready upstreams.
     fn may_back_off(&self, index: usize) -> bool {
         let others = self.upstreams.iter().enumerate();
-        let suspended = others.filter(|(other, one)| *other != index && one.is_suspended());
+        let suspended =
+            others.filter(|(other, upstream)| *other != index && upstream.is_suspended());
         let ready = self
             .upstreams
             .iter()
-            .filter(|one| one.entry.phase == UpstreamPhase::Ready);
-        let most = (ready.count() as f64 * MAX_SUSPENDED_SHARE).max(1.0);
-        (suspended.count() + 1) as f64 <= most
+            .filter(|upstream| upstream.entry.phase == UpstreamPhase::Ready);
+        let max_suspended = (ready.count() as f64 * MAX_SUSPENDED_SHARE).max(1.0);
+        (suspended.count() + 1) as f64 <= max_suspended
     }
 
-    /// Counts a run that another owner had granted.
-    pub(crate) fn adopt_run(&mut self, now: MonotonicTime, running: ActiveRun) {
+    /// Counts an active run that another owner granted.
+    pub(crate) fn adopt_run(&mut self, now: MonotonicTime, active_run: ActiveRun) {
         let Some(index) = self
             .upstreams
             .iter()
-            .position(|upstream| upstream.entry.id == running.upstream)
+            .position(|upstream| upstream.entry.id == active_run.upstream)
         else {
             return;
         };
-        let started_at = running.started_at(now);
+        let started_at = active_run.started_at(now);
         let prediction = predict(
             started_at,
-            &running.request,
-            running.request.objective_left,
+            &active_run.request,
+            active_run.request.objective_left,
             &self.upstreams[index],
             self.model(),
         );
-        self.start_run(started_at, running.request, index, prediction);
+        self.start_run(started_at, active_run.request, index, prediction);
     }
 }
--- a/crates/dragonflystep_dispatch/src/pool/summary.rs
+++ b/crates/dragonflystep_dispatch/src/pool/summary.rs
@@ -1,44 +1,44 @@
-//! What an owner believes of a service, for logs and metrics.
+//! Summaries of an owner's view of its services, for logs and metrics.
 
 use {
     super::ServicePool,
     crate::ids::{MonotonicTime, ServiceName, UpstreamId},
 };
 
-/// What an owner believes of an upstream, for logs and metrics.
+/// An owner's view of one upstream, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamSummary {
-    /// The upstream.
+    /// Identifies the upstream.
     pub id: UpstreamId,
-    /// Requests that run there.
+    /// Number of runs there that this owner knows of.
     pub running: usize,
-    /// Whether it takes requests now.
+    /// Whether it is ready and not backed off.
     pub is_usable: bool,
-    /// Requests a second that this owner may send there, if it names a rate limit.
+    /// Requests per second that this owner may send there; absent if the upstream stated no rate limit.
     pub limited_per_s: Option<f64>,
-    /// Microseconds to read a prompt token.
+    /// Prefill time per prompt token, in microseconds.
     pub prefill_us_per_token: f64,
-    /// Milliseconds from event to event.
+    /// Time between two events of a stream, in milliseconds.
     pub ms_per_event: f64,
-    /// Share of its last runs that failed.
+    /// Exponentially weighted share of its recent runs that failed.
     pub failure_rate: f64,
 }
 
-/// What an owner believes of a service.
+/// An owner's view of one service, for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSummary {
-    /// The service.
+    /// The service that is summarized.
     pub service: ServiceName,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub waiting: usize,
-    /// Requests that were granted a place since the last summary.
+    /// Number of slots granted since the last summary.
     pub granted: u64,
-    /// Its upstreams.
+    /// The upstreams of the service.
     pub upstreams: Vec<UpstreamSummary>,
 }
 
 impl ServicePool {
-    /// What the owner believes, and how much it granted since the last call.
+    /// Summarizes the service, and resets the number of granted slots.
     pub(crate) fn summary(&mut self, now: MonotonicTime, service: ServiceName) -> PoolSummary {
         let upstreams = self.upstreams.iter().map(|upstream| UpstreamSummary {
             id: upstream.entry.id.clone(),
--- a/crates/dragonflystep_dispatch/src/prefix_cache.rs
+++ b/crates/dragonflystep_dispatch/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Which parts of prompts an upstream holds, as far as its owner's own dispatches tell.
+//! Model of an upstream's prefix cache, as far as it follows from its owner's own dispatches.
 
 use {
     crate::{
@@ -8,16 +8,17 @@
     std::collections::HashMap,
 };
 
-/// Parts that an upstream has read, the least recently used one yielding first.
+/// Prompt segments that an upstream presumably holds, with least-recently-used eviction.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_tokens: u64,
     held_tokens: u64,
-    segments: HashMap<PromptSegmentId, HeldPart>,
+    segments: HashMap<PromptSegmentId, CachedSegment>,
 }
 
+/// A prompt segment in the cache.
 #[derive(Debug)]
-struct HeldPart {
+struct CachedSegment {
     tokens: u32,
     used_at: MonotonicTime,
 }
@@ -31,25 +32,25 @@
         }
     }
 
-    /// Tokens at the beginning of a prompt that need not be read again.
+    /// Returns the number of tokens at the beginning of a prompt that need no prefill.
     pub(crate) fn cached_tokens(&self, segments: &[PromptSegment]) -> u32 {
         segments
             .iter()
-            .take_while(|part| self.segments.contains_key(&part.id))
-            .map(|part| part.tokens)
+            .take_while(|segment| self.segments.contains_key(&segment.id))
+            .map(|segment| segment.tokens)
             .sum()
     }
 
-    /// Notes that a prompt is read.
+    /// Records that a prompt is prefilled, which adds its segments to the cache.
     pub(crate) fn read(&mut self, now: MonotonicTime, segments: &[PromptSegment]) {
-        for part in segments {
-            let held = HeldPart {
-                tokens: part.tokens,
+        for segment in segments {
+            let cached = CachedSegment {
+                tokens: segment.tokens,
                 used_at: now,
             };
-            self.held_tokens += u64::from(part.tokens);
-            if let Some(before) = self.segments.insert(part.id, held) {
-                self.held_tokens -= u64::from(before.tokens);
+            self.held_tokens += u64::from(segment.tokens);
+            if let Some(replaced) = self.segments.insert(segment.id, cached) {
+                self.held_tokens -= u64::from(replaced.tokens);
             }
         }
         if self.held_tokens > self.capacity_tokens {
@@ -57,20 +58,20 @@
         }
     }
 
-    /// Drops the oldest tenth, so that eviction is rare.
+    /// Evicts the least recently used segments until a tenth of the capacity is free, so that evictions are rare.
     fn evict(&mut self) {
-        let mut by_age: Vec<(MonotonicTime, PromptSegmentId)> = self
+        let mut by_last_use: Vec<(MonotonicTime, PromptSegmentId)> = self
             .segments
             .iter()
-            .map(|(id, part)| (part.used_at, *id))
+            .map(|(id, segment)| (segment.used_at, *id))
             .collect();
-        by_age.sort_unstable();
-        for (_, id) in by_age {
+        by_last_use.sort_unstable();
+        for (_, id) in by_last_use {
             if self.held_tokens * 10 <= self.capacity_tokens * 9 {
                 return;
             }
-            if let Some(part) = self.segments.remove(&id) {
-                self.held_tokens -= u64::from(part.tokens);
+            if let Some(segment) = self.segments.remove(&id) {
+                self.held_tokens -= u64::from(segment.tokens);
             }
         }
     }
--- a/crates/dragonflystep_dispatch/src/queue.rs
+++ b/crates/dragonflystep_dispatch/src/queue.rs
@@ -1,72 +1,78 @@
-//! The requests that wait for a place, in the order in which they get one.
+//! The queue of a service: requests that wait for a slot, in the order in which they get one.
 //!
-//! The load it answers: a burst of all tiers on full upstreams. Higher tiers go first without exception.
-//! Within a tier, requests that can still be on time go before those that can't: in arrival order an
-//! overload of a few seconds makes every request a little late, and none is served as wanted.
+//! It is designed for bursts of requests of all tiers while the upstreams are full. Higher tiers always go first.
+//! Within a tier, requests that can still be on time go before those that cannot. In order of arrival, an overload of a
+//! few seconds would make every request a little late, and no request would meet its objective.
 
 use {
     crate::{
         ids::{MonotonicTime, RunId, Tier},
-        limits::QUEUE_ORDER_AGE,
+        limits::QUEUE_SORT_INTERVAL,
         messages::SlotRequest,
     },
     std::time::Duration,
 };
 
-/// A waiting request.
+/// A request in the queue, with its deadlines and predicted durations.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) request: SlotRequest,
-    /// When it was asked for first.
+    /// When its caller first sent it, also if it was refused then.
     pub(crate) first_requested_at: MonotonicTime,
-    /// Whether it was refused before.
-    pub(crate) has_returned: bool,
-    /// Whether it shows how a new version of its service does.
+    /// Whether it was refused before and has come back.
+    pub(crate) was_refused: bool,
+    /// Whether it goes to the new version of its service to test that version.
     pub(crate) is_canary: bool,
-    /// When it is late.
+    /// Time after which its answer or first event is late.
     pub(crate) objective_at: MonotonicTime,
-    /// When it is refused at the latest.
+    /// Time at which it is refused if it still waits.
     pub(crate) expires_at: MonotonicTime,
-    /// Predicted time at an upstream of mean speed.
+    /// Predicted duration of the run at an upstream of mean speed, in milliseconds.
     pub(crate) run_ms: f64,
-    /// Predicted time to the first event at an upstream of mean speed with nothing else to read.
+    /// Predicted time to the first event at an upstream of mean speed without other prompts to prefill.
     pub(crate) time_to_first_event: Duration,
 }
 
 impl QueuedRequest {
-    /// Whether it would be late even if a place came free now.
+    /// Whether it would be late even if it got a slot now.
     pub(crate) fn is_late(&self, now: MonotonicTime) -> bool {
         now + self.time_to_first_event > self.objective_at
     }
 
-    /// What is left until it is late.
+    /// Time left until it is late.
     pub(crate) fn objective_left(&self, now: MonotonicTime) -> Duration {
         self.objective_at.saturating_sub(now)
     }
 }
 
-/// Requests that wait.
+/// The waiting requests of a service, sorted by [`priority_key`].
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     waiting: Vec<QueuedRequest>,
     sorted_at: MonotonicTime,
 }
 
-/// What the order of the queue goes by.
-fn place_key(one: &QueuedRequest, now: MonotonicTime) -> (Tier, bool, bool, MonotonicTime) {
-    let is_late = one.is_late(now);
-    let is_first_try = is_late && !one.has_returned;
-    (one.request.tier, is_late, is_first_try, one.objective_at)
+/// Sort key of the queue: by tier, then requests that can be on time, then late ones that were refused before, then
+/// the other late ones; ties go by the time at which they are late.
+fn priority_key(queued: &QueuedRequest, now: MonotonicTime) -> (Tier, bool, bool, MonotonicTime) {
+    let is_late = queued.is_late(now);
+    let is_late_first_try = is_late && !queued.was_refused;
+    (
+        queued.request.tier,
+        is_late,
+        is_late_first_try,
+        queued.objective_at,
+    )
 }
 
 impl WaitQueue {
-    /// Adds a request at its place in the order.
-    pub(crate) fn push(&mut self, now: MonotonicTime, waiting: QueuedRequest) {
-        let key = place_key(&waiting, now);
+    /// Inserts a request at its position in the order.
+    pub(crate) fn push(&mut self, now: MonotonicTime, queued: QueuedRequest) {
+        let key = priority_key(&queued, now);
         let index = self
             .waiting
-            .partition_point(|other| place_key(other, now) <= key);
-        self.waiting.insert(index, waiting);
+            .partition_point(|other| priority_key(other, now) <= key);
+        self.waiting.insert(index, queued);
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -81,43 +87,48 @@
         &self.waiting[index]
     }
 
-    /// Takes one out; the order of the others stays.
+    /// Removes and returns the request at `index`; the order of the others stays.
     pub(crate) fn take(&mut self, index: usize) -> QueuedRequest {
         self.waiting.remove(index)
     }
 
     pub(crate) fn remove(&mut self, run: RunId) -> Option<QueuedRequest> {
-        let index = self.waiting.iter().position(|one| one.request.run == run)?;
+        let index = self
+            .waiting
+            .iter()
+            .position(|queued| queued.request.run == run)?;
         Some(self.waiting.remove(index))
     }
 
-    /// Takes out all that have waited as long as they may.
+    /// Removes and returns all requests that have waited as long as they may.
     pub(crate) fn take_expired(&mut self, now: MonotonicTime) -> Vec<QueuedRequest> {
         let (expired, waiting) = self
             .waiting
             .drain(..)
-            .partition(|one| one.expires_at <= now);
+            .partition(|queued| queued.expires_at <= now);
         self.waiting = waiting;
         expired
     }
 
-    /// Puts the requests into the order in which they are placed, unless that was done a moment ago.
+    /// Sorts the requests into the order in which they get slots, at most once per [`QUEUE_SORT_INTERVAL`].
     pub(crate) fn sort(&mut self, now: MonotonicTime) {
-        if now < self.sorted_at + QUEUE_ORDER_AGE && self.sorted_at > MonotonicTime::ZERO {
+        if now < self.sorted_at + QUEUE_SORT_INTERVAL && self.sorted_at > MonotonicTime::ZERO {
             return;
         }
         self.sorted_at = now;
-        self.waiting.sort_by_cached_key(|one| place_key(one, now));
+        self.waiting
+            .sort_by_cached_key(|queued| priority_key(queued, now));
     }
 
-    /// Work that goes before a new request of `tier`, in milliseconds at one place.
+    /// Returns the work that is served before a new request of `tier`, in milliseconds of one slot.
     ///
-    /// Requests of the tier that are late do not go before one that can be in time. Counting them would turn away
-    /// those who can be served in time, who then come back late.
+    /// Late requests of the same tier are not served before a request that can be on time, so they do not count for it.
+    /// Counting them would refuse requests that could be served on time, and those would then come back late.
     pub(crate) fn work_ahead_ms(&self, now: MonotonicTime, tier: Tier, is_late: bool) -> f64 {
-        let before = self.waiting.iter().filter(|one| {
-            one.request.tier < tier || one.request.tier == tier && (is_late || !one.is_late(now))
+        let before = self.waiting.iter().filter(|queued| {
+            queued.request.tier < tier
+                || queued.request.tier == tier && (is_late || !queued.is_late(now))
         });
-        before.map(|one| one.run_ms).sum()
+        before.map(|queued| queued.run_ms).sum()
     }
 }
--- a/crates/dragonflystep_dispatch/src/quota.rs
+++ b/crates/dragonflystep_dispatch/src/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of accounts: one token bucket an account, at the owner of a service.
+//! Enforces the accounts' quotas with one token bucket per account at each owner.
 
 mod handover;
 
@@ -8,7 +8,7 @@
         catalogue::AccountQuota,
         ids::{AccountName, MonotonicTime},
         limits::{
-            MINORITIES_QUOTA_SHARE, MINORITY_QUOTA_SHARE, QUOTA_TOLERANCE_USE,
+            ALL_MINORITIES_QUOTA_SHARE, MINORITY_LIMIT_SHARE, QUOTA_TOLERANCE_USE,
             UNREPORTED_START_SHARE, UNREPORTED_STARTS_COVERED,
         },
         usage::UsageReport,
@@ -16,18 +16,18 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// How the use of accounts is judged.
+/// Window and tolerance by which the accounts' quotas are enforced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRules {
-    /// Length of the window: an account may use its rate times this, and its burst, in any such span.
+    /// Length of the window. In any span of this length an account may use its rate times the length, plus its burst.
     pub window: Duration,
-    /// Share of that by which an account may go over before its use counts as too much.
+    /// Share of the units permitted in a window by which an account may exceed them.
     pub tolerated_share: f64,
-    /// Units by which it may go over besides.
+    /// Units by which an account may exceed them in addition to that share.
     pub tolerated_units: f64,
 }
 
-/// Buckets of all accounts.
+/// The token buckets of all accounts, with the limits and usage reports that fill them.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     rules: QuotaRules,
@@ -39,12 +39,12 @@
 #[derive(Debug)]
 struct Bucket {
     units: f64,
-    /// The largest request so far; one that is larger than the bucket takes it below zero.
+    /// Units of the largest request so far. A request larger than the bucket takes its level below zero.
     largest_units: f64,
     filled_at: MonotonicTime,
-    began_at: MonotonicTime,
-    /// What it began with, by the entries' reports up to `reports_version`.
-    began_with: f64,
+    created_at: MonotonicTime,
+    /// Units that it began with, according to the usage reports up to `reports_version`.
+    initial_units: f64,
     reports_version: Option<u64>,
 }
 
@@ -58,31 +58,33 @@
         }
     }
 
-    /// Judges by other rules from now on; what was used stays used.
+    /// Changes the rules; the buckets keep their levels.
     pub(crate) fn set_rules(&mut self, rules: QuotaRules) {
         self.rules = rules;
     }
 
-    /// Takes over the limits of a catalogue; what was used stays used.
+    /// Applies the limits of a catalogue. The buckets of accounts that still have a quota keep their levels.
     pub(crate) fn set_limits(&mut self, limits: HashMap<AccountName, AccountQuota>) {
         self.buckets
             .retain(|account, _| limits.contains_key(account));
         self.limits = limits;
     }
 
-    /// Records how many nodes are listed.
+    /// Records the length of the list of nodes.
     pub(crate) fn set_node_count(&mut self, now: MonotonicTime, nodes: usize) {
         self.reported.set_node_count(now, self.rules.window, nodes);
     }
 
-    /// Applies an entry's report of the time before it asked this owner.
+    /// Applies an entry node's report of usage from before its first request to this owner.
     pub(crate) fn apply_report(&mut self, now: MonotonicTime, report: UsageReport) {
         if self.reported.apply_report(now, self.rules.window, report) == ReportEffect::Reset {
             self.buckets.clear();
         }
     }
 
-    /// Takes `units` of an account; tells how long until they would be there if they are not.
+    /// Takes `units` from an account's bucket, or returns the time until the bucket would hold enough.
+    ///
+    /// `share` is the share of the common limits that this owner may use. An account without a quota is not limited.
     pub(crate) fn take(
         &mut self,
         now: MonotonicTime,
@@ -101,7 +103,7 @@
         let credit = unreported_credit(&self.rules, quota);
         bucket.apply_reports(reported, window, (account, quota), credit, share);
         bucket.largest_units = bucket.largest_units.max(units);
-        let (rate, burst) = bucket_of(&self.rules, quota, share, bucket.largest_units);
+        let (rate, burst) = rate_and_burst(&self.rules, quota, share, bucket.largest_units);
         let passed = now.saturating_sub(bucket.filled_at).as_secs_f64();
         bucket.units = (bucket.units + passed * rate).min(burst);
         bucket.filled_at = now;
@@ -116,7 +118,7 @@
         ))
     }
 
-    /// Gives back what was taken for a request that did not run.
+    /// Returns the units of a request that did not run to the account's bucket.
     pub(crate) fn refund(&mut self, account: &AccountName, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.units += units;
@@ -125,19 +127,19 @@
 }
 
 impl Bucket {
-    /// One that holds nothing until it is known what its account spent before.
+    /// Creates an empty bucket; [`apply_reports`](Self::apply_reports) fills it by what the account used before.
     fn new(now: MonotonicTime) -> Self {
         Self {
             units: 0.0,
             largest_units: 0.0,
             filled_at: now,
-            began_at: now,
-            began_with: 0.0,
+            created_at: now,
+            initial_units: 0.0,
             reports_version: None,
         }
     }
 
-    /// Corrects what it began with by what entries have reported since.
+    /// Corrects the initial level by the usage reports that arrived since the last correction.
     fn apply_reports(
         &mut self,
         reported: &ReportedUsage,
@@ -150,28 +152,29 @@
             return;
         }
         self.reports_version = Some(reported.version());
-        let level = reported.level_at(self.began_at, window, account, quota)
-            + credit * reported.unknown_share(self.began_at, window);
+        let level = reported.level_at(self.created_at, window, account, quota)
+            + credit * reported.unknown_share(self.created_at, window);
         let level = level.min(quota.burst_units) * share.min(1.0);
-        self.units += level - self.began_with;
-        self.began_with = level;
+        self.units += level - self.initial_units;
+        self.initial_units = level;
     }
 }
 
-/// Rate and size of the bucket of an account, at a node with `share` of the common limits.
+/// Returns the refill rate and the size of an account's bucket, at a node with `share` of the common limits.
 ///
-/// What the tolerance leaves beside parts of the nodes that do not see each other, and owners without
-/// reports, goes into the rate, so that an account that keeps within its quota is hardly ever refused. A node
-/// that sees no majority keeps clear of the tolerance.
-fn bucket_of(
+/// A part of the tolerance is reserved for partitions without a majority and for owners without usage reports. The rest
+/// raises the refill rate, so that an account that stays within its quota is hardly ever refused. A node that sees no
+/// majority does not use the tolerance.
+fn rate_and_burst(
     rules: &QuotaRules,
     quota: &AccountQuota,
     share: f64,
     largest_units: f64,
 ) -> (f64, f64) {
-    // A request larger than the burst must still be possible when the bucket is full.
+    // `take` asks for at most this many units, so a request larger than the burst is still possible when the bucket is
+    // full.
     let burst = (quota.burst_units * share).max(1.0);
-    if share <= MINORITY_QUOTA_SHARE {
+    if share <= MINORITY_LIMIT_SHARE {
         return (quota.units_per_s * share, burst);
     }
     let window_s = rules.window.as_secs_f64().max(1.0);
@@ -179,27 +182,27 @@
     (rate, burst)
 }
 
-/// Units that the quota allows within a window.
-fn plain_use(rules: &QuotaRules, quota: &AccountQuota) -> f64 {
+/// Returns the units that the quota permits within a window, without the tolerance.
+fn permitted_units(rules: &QuotaRules, quota: &AccountQuota) -> f64 {
     quota.units_per_s * rules.window.as_secs_f64().max(1.0) + quota.burst_units
 }
 
-/// Units beyond it that are tolerated.
+/// Returns the units beyond [`permitted_units`] that are tolerated within a window.
 fn tolerance(rules: &QuotaRules, quota: &AccountQuota) -> f64 {
-    plain_use(rules, quota) * rules.tolerated_share + rules.tolerated_units
+    permitted_units(rules, quota) * rules.tolerated_share + rules.tolerated_units
 }
 
-/// Units with which an account begins at an owner without reports.
+/// Returns the units with which an account begins at an owner that has no usage reports.
 fn unreported_credit(rules: &QuotaRules, quota: &AccountQuota) -> f64 {
     (tolerance(rules, quota) * UNREPORTED_START_SHARE).min(quota.burst_units)
 }
 
-/// Units beyond the plain quota that an owner may give out within a window.
+/// Returns the units beyond [`permitted_units`] that an owner may grant within a window.
 fn usable_tolerance(rules: &QuotaRules, quota: &AccountQuota, largest_units: f64) -> f64 {
     let tolerance = tolerance(rules, quota);
-    let for_minorities = plain_use(rules, quota) * MINORITIES_QUOTA_SHARE;
-    let for_largest = (largest_units - quota.burst_units).max(0.0);
-    let for_starts = UNREPORTED_STARTS_COVERED * unreported_credit(rules, quota);
-    let left = tolerance - for_minorities - for_starts - for_largest;
+    let minorities_reserve = permitted_units(rules, quota) * ALL_MINORITIES_QUOTA_SHARE;
+    let largest_request_reserve = (largest_units - quota.burst_units).max(0.0);
+    let unreported_starts_reserve = UNREPORTED_STARTS_COVERED * unreported_credit(rules, quota);
+    let left = tolerance - minorities_reserve - unreported_starts_reserve - largest_request_reserve;
     left.max(tolerance * QUOTA_TOLERANCE_USE)
 }
--- a/crates/dragonflystep_dispatch/src/quota/handover.rs
+++ b/crates/dragonflystep_dispatch/src/quota/handover.rs
@@ -1,4 +1,4 @@
-//! What entries report to a new owner of the quotas of the time before it, and what accounts have left by that.
+//! Usage reports that entry nodes send to a new owner, and the levels of the accounts' buckets that follow from them.
 
 use {
     crate::{
@@ -9,24 +9,25 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Accounts' spending that entries reported before they asked this owner.
+/// The accounts' usage that entry nodes reported before their first request to this owner.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedUsage {
     entries: HashMap<NodeName, KnownEntry>,
     accounts: HashMap<AccountName, Vec<ReportedSlice>>,
-    /// Nodes that were listed, with the time up to which they were.
+    /// Lengths of the list of nodes within the last window, each with the time up to which it was valid.
     listed: Vec<(usize, MonotonicTime)>,
-    /// Counts the reports, to notice a new one.
+    /// Number of accepted reports; shows buckets that a new one arrived.
     version: u64,
 }
 
+/// What this owner knows about the usage through one entry node.
 #[derive(Clone, Copy, Debug)]
 struct KnownEntry {
-    /// Since when this owner knows all that went through it, in seconds of its clock; may lie before the
-    /// clock's zero.
+    /// Time since which this owner knows all usage through the entry node, in seconds of this owner's clock; negative
+    /// if that lies before the zero of the clock.
     since_s: f64,
     reported_at: MonotonicTime,
-    /// Whether another owner may have granted it something that it has not reported.
+    /// Whether another owner may have granted it requests that it has not reported yet.
     is_outdated: bool,
 }
 
@@ -36,22 +37,23 @@
     units: f64,
 }
 
-/// What a report means for what was known before.
+/// Effect of a report on the usage that was known before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportEffect {
-    /// It adds to it.
+    /// The report adds to the known usage, or confirms it.
     Added,
-    /// Another owner granted meanwhile; buckets that were counted without it are wrong.
+    /// Another owner granted requests in the meantime, so all earlier reports were dropped. Existing buckets do not
+    /// include those requests and have to be rebuilt.
     Reset,
 }
 
 impl ReportedUsage {
-    /// Changes with each report.
+    /// Returns a number that changes with each accepted report.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Notes how many nodes are listed from now on.
+    /// Records the length of the list of nodes from now on.
     pub(crate) fn set_node_count(&mut self, now: MonotonicTime, window: Duration, nodes: usize) {
         if let Some((_, until)) = self.listed.last_mut() {
             *until = now;
@@ -60,7 +62,7 @@
         self.listed.push((nodes, MonotonicTime::MAX));
     }
 
-    /// Applies an entry's report.
+    /// Applies an entry node's report.
     pub(crate) fn apply_report(
         &mut self,
         now: MonotonicTime,
@@ -82,7 +84,7 @@
         effect
     }
 
-    /// Forgets the reports: another node was the owner in between, and all entries report again.
+    /// Drops all reports, since another node was the owner in between; all entry nodes will report again.
     fn reset(&mut self, now: MonotonicTime) {
         self.accounts.clear();
         for known in self.entries.values_mut() {
@@ -94,17 +96,17 @@
     fn accept(&mut self, now: MonotonicTime, window: Duration, report: UsageReport) {
         self.version += 1;
         let now_s = now.as_secs_f64();
-        let reach_s = report.covers.min(window).as_secs_f64();
+        let covered_s = report.covers.min(window).as_secs_f64();
         let known = KnownEntry {
-            since_s: now_s - reach_s,
+            since_s: now_s - covered_s,
             reported_at: now,
             is_outdated: false,
         };
-        // What this owner granted after that moment it has counted itself.
+        // From that moment on, this owner has counted its own grants to the entry node itself.
         let counted_since_s = self
             .entries
             .insert(report.node, known)
-            .map_or(f64::INFINITY, |before| before.since_s);
+            .map_or(f64::INFINITY, |previous| previous.since_s);
         for usage in report.accounts {
             let slices = self.accounts.entry(usage.account).or_default();
             slices.retain(|slice| slice.at_s + window.as_secs_f64() > now_s);
@@ -123,11 +125,10 @@
         }
     }
 
-    /// What an account had left of its burst at `at`, by the entries' reports.
+    /// Returns the level of an account's bucket at `at` according to the reports.
     ///
-    /// That is the level of a bucket which was full a window before. Entries that have not reported are assumed to
-    /// have spent their part of all that the quota allowed, so that an owner without reports begins
-    /// with nothing.
+    /// This is the level of a bucket that was full one window earlier. Entry nodes without a report are assumed to have
+    /// used their part of all that the quota permitted, so the level is zero at an owner without reports.
     pub(crate) fn level_at(
         &self,
         at: MonotonicTime,
@@ -138,30 +139,30 @@
         let (at_s, window_s) = (at.as_secs_f64(), window.as_secs_f64());
         let slices = self.accounts.get(account).map_or(&[][..], Vec::as_slice);
         let ages_s = slices.iter().map(|slice| (at_s - slice.at_s).max(0.0));
-        let reaches_s = self.entries.values().map(|known| at_s - known.since_s);
-        let mut looks_s: Vec<f64> = ages_s.chain(reaches_s).collect();
-        looks_s.extend([0.0, window_s]);
-        looks_s.retain(|age_s| (0.0..=window_s).contains(age_s));
+        let coverage_starts_s = self.entries.values().map(|known| at_s - known.since_s);
+        let mut checked_ages_s: Vec<f64> = ages_s.chain(coverage_starts_s).collect();
+        checked_ages_s.extend([0.0, window_s]);
+        checked_ages_s.retain(|age_s| (0.0..=window_s).contains(age_s));
         let nodes = self.node_count() as f64;
-        let levels = looks_s.into_iter().map(|age_s| {
-            let spent: f64 = slices
+        let levels = checked_ages_s.into_iter().map(|age_s| {
+            let used: f64 = slices
                 .iter()
                 .filter(|slice| at_s - slice.at_s <= age_s)
                 .map(|slice| slice.units)
                 .sum();
-            let knowing = self.entries.values().filter(|known| {
-                let reach_s = at_s - known.since_s;
-                reach_s > age_s || reach_s >= window_s
+            let covering = self.entries.values().filter(|known| {
+                let covered_s = at_s - known.since_s;
+                covered_s > age_s || covered_s >= window_s
             });
-            let known_share = knowing.count() as f64 / nodes;
-            (quota.burst_units + quota.units_per_s * age_s) * known_share - spent
+            let known_share = covering.count() as f64 / nodes;
+            (quota.burst_units + quota.units_per_s * age_s) * known_share - used
         });
         levels
             .fold(f64::INFINITY, f64::min)
             .clamp(0.0, quota.burst_units)
     }
 
-    /// Share of the nodes of which the window before `at` is not known whole.
+    /// Returns the share of the nodes whose usage in the window before `at` is not completely known.
     pub(crate) fn unknown_share(&self, at: MonotonicTime, window: Duration) -> f64 {
         let known = self
             .entries
@@ -176,7 +177,7 @@
     }
 }
 
-/// Whether owners other than the receiver granted something within the time `since`.
+/// Whether owners other than the receiver granted anything within the last `since`.
 fn granted_by_others(report: &UsageReport, since: Duration) -> bool {
     let slices = report.accounts.iter().flat_map(|usage| &usage.slices);
     let mut recent = slices.filter(|slice| slice.age < since);
--- a/crates/dragonflystep_dispatch/src/refusal.rs
+++ b/crates/dragonflystep_dispatch/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Whether a request that finds no place may wait, and what a refused one is told.
+//! Load shedding: how long a request without a slot may wait, and the retry-after time of a refusal.
 //!
-//! The load it answers: work arriving at up to twice what the upstreams finish. Whoever would wait
-//! beyond the time that the caller has is told at once, with the time after which the queue is predicted
-//! to be short enough, so that no caller waits for nothing and none comes back in vain.
+//! It is designed for work that arrives at up to twice the rate at which the upstreams finish it. A request that would
+//! wait longer than its caller can is refused at once, so that no caller waits in vain. The refusal contains the time
+//! after which the queue is predicted to be short enough, so that no caller is refused again when it comes back.
 
 use {
     crate::{
         ids::{MonotonicTime, Tier},
         limits::{
-            ARRIVAL_WINDOW_S, LATE_WAIT_OBJECTIVES, MAX_RETRY_AFTER, MAX_RETURNED_WAIT_SHARE,
+            ARRIVAL_WINDOW_S, EXTRA_WAIT_OBJECTIVES, MAX_RETRY_AFTER, MAX_RETURNED_WAIT_SHARE,
             MAX_WAIT_SHARE, MIN_CAPACITY_SHARE, MIN_RETRY_AFTER,
         },
         messages::{Refusal, RefusalReason, SlotRequest},
@@ -16,7 +16,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Work of each tier that arrives, in places that it keeps busy.
+/// Rate at which work of each tier arrives, as the number of slots that it keeps busy.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRates {
     tiers: BTreeMap<Tier, Rate>,
@@ -24,8 +24,9 @@
 
 #[derive(Debug)]
 struct Rate {
-    /// Milliseconds of work in the averaging window, decaying.
+    /// Exponentially decaying sum of the arrived work, in milliseconds of one slot.
     work_ms: f64,
+    /// Time up to which `work_ms` has decayed.
     at: MonotonicTime,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl ArrivalRates {
-    /// Notes work that arrives.
+    /// Adds a request's work to the rate of its tier.
     pub(crate) fn record_arrival(&mut self, now: MonotonicTime, tier: Tier, work_ms: f64) {
         let rate = self.tiers.entry(tier).or_insert(Rate {
             work_ms: 0.0,
@@ -48,7 +49,7 @@
         rate.work_ms += work_ms;
     }
 
-    /// Places that the tiers above `tier` keep busy.
+    /// Returns the number of slots that arriving work of the tiers above `tier` keeps busy.
     pub(crate) fn slots_above(&mut self, now: MonotonicTime, tier: Tier) -> f64 {
         let mut work_ms = 0.0;
         for (_, rate) in self.tiers.range_mut(..tier) {
@@ -59,32 +60,32 @@
     }
 }
 
-/// Predicted time until a place for a new request, from the work before it and the places left to its
-/// tier.
+/// Predicts how long a new request waits for a slot, from the work ahead of it and the slots that higher tiers leave
+/// free.
 pub(crate) fn predicted_wait(work_ahead_ms: f64, slots: f64, slots_above: f64) -> Duration {
     let free = (slots - slots_above).max(slots * MIN_CAPACITY_SHARE);
     let ms = work_ahead_ms / free.max(0.1);
     Duration::from_secs_f64(ms.min(3.6e6) / 1e3)
 }
 
-/// Longest time that the request may wait, if its first event takes `first` once it has a place.
+/// Returns the longest time that a request may wait, given the time from its slot to its first event.
 ///
-/// Who comes for the first time and can't be served in time is better told at once when to come back.
-/// Who came back waits longer, since a second refusal leaves the caller no time for a third try.
+/// A new request that cannot be served on time is better refused at once with a retry-after time. A request that was
+/// refused before may wait longer, since a second refusal leaves its caller no time for a third try.
 pub(crate) fn longest_wait(
     request: &SlotRequest,
-    has_returned: bool,
+    was_refused: bool,
     time_to_first_event: Duration,
 ) -> Duration {
-    if has_returned {
+    if was_refused {
         return request.time_left.mul_f64(MAX_RETURNED_WAIT_SHARE);
     }
-    let in_time = request.objective_left.saturating_sub(time_to_first_event);
-    let beyond = request.objective_left.mul_f64(LATE_WAIT_OBJECTIVES);
-    (in_time + beyond).min(request.time_left.mul_f64(MAX_WAIT_SHARE))
+    let on_time = request.objective_left.saturating_sub(time_to_first_event);
+    let extra = request.objective_left.mul_f64(EXTRA_WAIT_OBJECTIVES);
+    (on_time + extra).min(request.time_left.mul_f64(MAX_WAIT_SHARE))
 }
 
-/// A refusal with the time to come back.
+/// Builds a refusal with a retry-after time of `wait`, limited to the permitted range.
 pub(crate) fn refuse(reason: RefusalReason, wait: Duration) -> Refusal {
     Refusal {
         reason,
--- a/crates/dragonflystep_dispatch/src/refused_requests.rs
+++ b/crates/dragonflystep_dispatch/src/refused_requests.rs
@@ -1,10 +1,9 @@
-//! Requests that were refused lately, to recognize them when their callers come back.
+//! Remembers refused requests, to recognize them when their callers come back.
 //!
-//! The load it answers: an overload in which most of the refused callers come back under a new id. They
-//! go before others that are late, and their objective counts from their first try. The time that a
-//! caller has left does not tell this: it differs among first tries, and taking the shorter ones for returned
-//! ones makes most requests look late, so that nobody goes ahead of others and the lowest kind waits where there is
-//! room for all.
+//! In an overload, most of the refused callers come back with a new request id. Such requests go before other late
+//! ones, and their objective counts from their first attempt. They cannot be recognized by the time that the caller has
+//! left: it differs among first attempts, and taking those with little time left for returning ones makes most requests
+//! look late. Then no request goes ahead of others, and the lowest tier waits even where there are slots for all.
 
 use {
     crate::{
@@ -15,52 +14,55 @@
     std::collections::HashMap,
 };
 
-/// Requests that were refused lately.
+/// Recently refused requests, by their fingerprints.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedRequests {
-    first_tries: HashMap<RequestFingerprint, FirstTry>,
+    first_attempts: HashMap<RequestFingerprint, FirstAttempt>,
 }
 
+/// When a refused request was first asked for, and how long that is remembered.
 #[derive(Debug)]
-struct FirstTry {
-    asked_at: MonotonicTime,
-    /// When its caller no longer waits for an answer.
-    over_at: MonotonicTime,
+struct FirstAttempt {
+    requested_at: MonotonicTime,
+    /// Time at which its caller gives up.
+    expires_at: MonotonicTime,
 }
 
 impl RefusedRequests {
-    /// When the request was asked for first, if it was refused then.
+    /// Returns when the request was first asked for, if it was refused and its caller may still come back.
     pub(crate) fn first_requested_at(
         &self,
         now: MonotonicTime,
         request: RequestFingerprint,
     ) -> Option<MonotonicTime> {
-        let first_try = self.first_tries.get(&request)?;
-        (now < first_try.over_at).then_some(first_try.asked_at)
+        let first_attempt = self.first_attempts.get(&request)?;
+        (now < first_attempt.expires_at).then_some(first_attempt.requested_at)
     }
 
-    /// Notes that `ask`, first asked for at `first_asked_at`, is refused.
+    /// Records that `request`, first asked for at `first_requested_at`, is refused.
     pub(crate) fn record(
         &mut self,
         now: MonotonicTime,
         request: &SlotRequest,
         first_requested_at: MonotonicTime,
     ) {
-        if self.first_tries.len() >= MAX_REFUSED_REMEMBERED {
-            self.first_tries.retain(|_, other| now < other.over_at);
+        if self.first_attempts.len() >= MAX_REFUSED_REMEMBERED {
+            self.first_attempts
+                .retain(|_, other| now < other.expires_at);
         }
-        if self.first_tries.len() >= MAX_REFUSED_REMEMBERED {
+        if self.first_attempts.len() >= MAX_REFUSED_REMEMBERED {
             return;
         }
-        let first_try = FirstTry {
-            asked_at: first_requested_at,
-            over_at: now + request.time_left,
+        let first_attempt = FirstAttempt {
+            requested_at: first_requested_at,
+            expires_at: now + request.time_left,
         };
-        self.first_tries.insert(request.fingerprint, first_try);
+        self.first_attempts
+            .insert(request.fingerprint, first_attempt);
     }
 
-    /// Forgets a request that was answered; the next one like it is another request.
+    /// Forgets a request that was answered; a later one with the same fingerprint counts as new.
     pub(crate) fn forget(&mut self, request: RequestFingerprint) {
-        self.first_tries.remove(&request);
+        self.first_attempts.remove(&request);
     }
 }
--- a/crates/dragonflystep_dispatch/src/requested_back_off.rs
+++ b/crates/dragonflystep_dispatch/src/requested_back_off.rs
@@ -1,9 +1,9 @@
-//! The rest that an upstream wants which refused requests.
+//! The back-off that an upstream requests when it refuses requests.
 //!
-//! The load it answers: an upstream that turns away whatever reaches it, from all nodes alike, for seconds. Each refusal is one for
-//! a caller whose request may not go elsewhere. So all nodes leave it alone as soon as it has refused one of them, and one
-//! request shows afterwards whether it accepts again. Where no other upstream is left, nodes that it has not refused try it,
-//! until it has refused a second one.
+//! An upstream in trouble may refuse all requests of all nodes for seconds. Each such refusal reaches a caller whose
+//! request cannot be sent elsewhere. So all nodes stop sending to the upstream as soon as it has refused one of them.
+//! After the back-off, a single request shows whether it accepts requests again. If no other upstream is left, nodes
+//! that it has not refused may probe it during the back-off, until it has refused a second node.
 
 use {
     crate::{
@@ -13,20 +13,21 @@
     std::time::Duration,
 };
 
-/// The rest that an upstream wants.
+/// The back-off that an upstream requested, and the probe that follows it.
 #[derive(Debug, Default)]
 pub(crate) struct RequestedBackOff {
-    /// Until when it wants no requests of which nodes.
+    /// The nodes that it refused, with the end of the back-off that it requested from each.
     nodes: Vec<(NodeIncarnation, MonotonicTime)>,
+    /// End of the longest back-off; until then no node sends requests.
     until: MonotonicTime,
-    /// Whether it has to be shown after the rest that it accepts requests again.
-    is_on_trial: bool,
-    /// When the request was sent that shows it.
-    tried_at: Option<MonotonicTime>,
+    /// Whether the upstream has not yet shown, since its last back-off, that it accepts requests again.
+    awaits_acceptance: bool,
+    /// When the first request after the back-off was sent, which shows whether the upstream accepts requests.
+    probe_sent_at: Option<MonotonicTime>,
 }
 
 impl RequestedBackOff {
-    /// Takes over until when it wants no requests of which nodes.
+    /// Replaces the nodes that the upstream refused, with the end of the back-off that it requested from each.
     pub(crate) fn set(&mut self, nodes: impl Iterator<Item = (NodeIncarnation, MonotonicTime)>) {
         self.nodes.clear();
         self.nodes.extend(nodes);
@@ -34,44 +35,46 @@
         let until = until.unwrap_or(Duration::ZERO);
         if until > self.until {
             self.until = until;
-            self.is_on_trial = true;
-            self.tried_at = None;
+            self.awaits_acceptance = true;
+            self.probe_sent_at = None;
         }
     }
 
-    /// Until when it is left alone.
+    /// Returns the time until which no node sends requests.
     pub(crate) fn until(&self) -> MonotonicTime {
         self.until
     }
 
-    /// Whether it has not shown yet since its last rest that it accepts requests.
-    pub(crate) fn is_on_trial(&self) -> bool {
-        self.is_on_trial
+    /// Whether the upstream has not yet shown, since its last back-off, that it accepts requests again.
+    pub(crate) fn awaits_acceptance(&self) -> bool {
+        self.awaits_acceptance
     }
 
-    /// Whether it wants no requests of a node.
-    pub(crate) fn is_wanted_from(&self, now: MonotonicTime, node: NodeIncarnation) -> bool {
+    /// Whether the upstream currently asks this node to send no requests.
+    pub(crate) fn applies_to(&self, now: MonotonicTime, node: NodeIncarnation) -> bool {
         let mut nodes = self.nodes.iter();
-        nodes.any(|(resting, until)| *resting == node && now < *until)
+        nodes.any(|(refused, until)| *refused == node && now < *until)
     }
 
-    /// Whether nodes that it has not refused may try it: it has refused too few to count as refusing all.
-    pub(crate) fn may_be_tried(&self, now: MonotonicTime) -> bool {
+    /// Whether nodes that the upstream has not refused may probe it during the back-off, since it has refused too few
+    /// nodes to count as refusing all.
+    pub(crate) fn may_be_probed_early(&self, now: MonotonicTime) -> bool {
         let refused = self.nodes.iter().filter(|(_, until)| now < *until);
         now < self.until && refused.count() < MIN_REFUSED_NODES
     }
 
-    /// Whether a request may be sent as far as its rest is concerned.
+    /// Whether the back-off permits a request now.
     pub(crate) fn admits_request(&self, now: MonotonicTime) -> bool {
         let is_accepted = |at: MonotonicTime| now.saturating_sub(at) >= BACK_OFF_PROBE_TIME;
-        now >= self.until && (!self.is_on_trial || self.tried_at.is_none_or(is_accepted))
+        now >= self.until && (!self.awaits_acceptance || self.probe_sent_at.is_none_or(is_accepted))
     }
 
-    /// Notes that a request is sent; the second one after a rest ends the trial.
-    pub(crate) fn note_sent(&mut self, now: MonotonicTime) {
-        if self.is_on_trial && now >= self.until {
-            self.is_on_trial = self.tried_at.is_none();
-            self.tried_at = Some(now);
+    /// Records that a request is sent. The second one after a back-off ends the probing, since it is sent only if the
+    /// first one was not refused.
+    pub(crate) fn record_sent(&mut self, now: MonotonicTime) {
+        if self.awaits_acceptance && now >= self.until {
+            self.awaits_acceptance = self.probe_sent_at.is_none();
+            self.probe_sent_at = Some(now);
         }
     }
 }
--- a/crates/dragonflystep_dispatch/src/retry_budget.rs
+++ b/crates/dragonflystep_dispatch/src/retry_budget.rs
@@ -1,22 +1,21 @@
-//! Retries of a service against its requests, in a sliding window of whole seconds.
+//! Retry budget of a service: limits retries in proportion to requests, in a sliding window of whole seconds.
 //!
-//! A service in trouble must not get more and more of the same requests; all nodes together may send a
-//! request again only so often.
+//! It prevents retries from multiplying the load of a service in trouble. The limit applies to all nodes together.
 
 use {crate::ids::MonotonicTime, std::collections::VecDeque};
 
-/// What operators permit.
+/// Retry limits that operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryLimits {
-    /// Retries for each request.
+    /// Permitted retries as a share of the requests in the window.
     pub(crate) ratio: f64,
-    /// Retries besides.
+    /// Permitted retries in the window in addition to that share.
     pub(crate) slack: f64,
-    /// Length of the window.
+    /// Length of the window, in seconds.
     pub(crate) window_s: u64,
 }
 
-/// Requests and retries of a service in the last seconds.
+/// Numbers of requests and retries of a service in each second of the window.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
     seconds: VecDeque<Second>,
@@ -30,24 +29,25 @@
 }
 
 impl RetryBudget {
-    /// Whether nothing was counted yet.
+    /// Whether nothing has been counted.
     pub(crate) fn is_empty(&self) -> bool {
         self.seconds.is_empty()
     }
 
-    /// Counts a request that came for the first time.
+    /// Counts a request that is not a retry.
     pub(crate) fn count_request(&mut self, now: MonotonicTime, limits: RetryLimits) {
-        self.current(now, limits).requests += 1;
+        self.current_second(now, limits).requests += 1;
     }
 
-    /// Takes one retry, if one is left.
+    /// Takes one retry from the budget; returns whether one was left. `share` is this owner's share of the additional
+    /// retries.
     pub(crate) fn take_retry(
         &mut self,
         now: MonotonicTime,
         limits: RetryLimits,
         share: f64,
     ) -> bool {
-        self.current(now, limits);
+        self.current_second(now, limits);
         let requests: u32 = self.seconds.iter().map(|second| second.requests).sum();
         let retries: u32 = self.seconds.iter().map(|second| second.retries).sum();
         let permitted = (limits.ratio * f64::from(requests) + limits.slack * share)
@@ -55,11 +55,12 @@
         if f64::from(retries + 1) > permitted {
             return false;
         }
-        self.current(now, limits).retries += 1;
+        self.current_second(now, limits).retries += 1;
         true
     }
 
-    fn current(&mut self, now: MonotonicTime, limits: RetryLimits) -> &mut Second {
+    /// Returns the counters of the current_second second, and drops those that left the window.
+    fn current_second(&mut self, now: MonotonicTime, limits: RetryLimits) -> &mut Second {
         let at_s = now.as_secs();
         self.seconds
             .retain(|second| second.at_s + limits.window_s > at_s);
--- a/crates/dragonflystep_dispatch/src/rollout.rs
+++ b/crates/dragonflystep_dispatch/src/rollout.rs
@@ -1,9 +1,10 @@
-//! Moves a service's requests to upstreams of another version, or back if that version turns out to be bad.
+//! Roll-outs: move a service's requests to upstreams of a new version, and back if that version turns out to be bad.
 //!
-//! The load it answers: all requests of a service, while its upstreams run side by side in two versions. The new one may
-//! fail or be slow at once, later, only under load or on one route only, and few requests may show it. So a small share of
-//! the requests goes there as canaries for most of the time; at the end all of them do, for as long as the permitted
-//! exposure lasts, and only then is the order completed, since the old upstreams stop at that moment.
+//! Upstreams of both versions run side by side. The new version may fail or be slow from the beginning or only later,
+//! only under load, or only on one route, and only a limited number of requests may be exposed to find out. So for most
+//! of the time a small share of the requests goes to the new version as canaries. At the end all requests go there, for
+//! as long as the permitted exposure lasts. Only then is the order completed, since the old upstreams stop at that
+//! moment.
 
 mod evidence;
 mod exposure;
@@ -16,8 +17,9 @@
     crate::{
         ids::{MonotonicTime, RouteName, ServiceName, UpstreamId, UpstreamVersion},
         limits::{
-            ROLLOUT_EXPOSURE_USE, ROLLOUT_JUDGE_INTERVAL, ROLLOUT_MAX_SWITCH,
-            ROLLOUT_MIN_COMPARED_MS, ROLLOUT_RECENT, ROLLOUT_SETTLE_MARGIN, ROLLOUT_SLACK_USE,
+            ROLLOUT_EVALUATION_INTERVAL, ROLLOUT_EXPOSURE_USE, ROLLOUT_MAX_SWITCH,
+            ROLLOUT_MIN_COMPARED_MS, ROLLOUT_RECENT_WINDOW, ROLLOUT_SETTLE_MARGIN,
+            ROLLOUT_SLACK_USE,
         },
         messages::RunOutcome,
     },
@@ -27,20 +29,20 @@
 /// An operator's order to move a service's requests to another version of its upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The service that is rolled out.
     pub service: ServiceName,
-    /// The version that its requests are to go to.
+    /// The new version, to which the service's requests move.
     pub to: UpstreamVersion,
-    /// Tells orders apart; a later one has a higher number.
+    /// Number of the order; a later order has a higher number.
     pub number: u64,
-    /// When it has to be decided.
+    /// Time by which the order has to be decided.
     pub ends_at: MonotonicTime,
 }
 
-/// How a roll-out stands.
+/// State of a roll-out as other nodes and operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RolloutPhase {
-    /// Both versions serve.
+    /// Undecided: both versions may serve requests.
     Serving,
     /// All requests go to the new version.
     Completed,
@@ -49,7 +51,7 @@
 }
 
 impl RolloutPhase {
-    /// Its name in logs and metrics.
+    /// Returns the name of the phase in logs and metrics.
     ///
     /// # Examples
     /// ```
@@ -66,49 +68,51 @@
     }
 }
 
-/// How many requests a version that turns out to be bad may get.
+/// The permitted exposure: how many requests a version that turns out to be bad may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RolloutRules {
-    /// Share of the service's requests between the order and its end.
+    /// Permitted share of the service's requests between the order and its end.
     pub exposed_share: f64,
-    /// Requests besides.
+    /// Number of permitted requests in addition to that share.
     pub exposed_slack: f64,
 }
 
-/// A step of a roll-out that others have to learn of.
+/// A step of a roll-out that has to be published to other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStep {
-    /// The order.
+    /// The order that the step belongs to.
     pub order: RolloutOrder,
-    /// How it stands from now on.
+    /// Phase of the roll-out after the step.
     pub phase: RolloutPhase,
-    /// Why, for logs.
+    /// Reason of the step, for logs.
     pub reason: String,
 }
 
-/// Which upstreams get the requests that are no canaries.
+/// The version that gets all requests other than canaries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Track {
+enum MainVersion {
     Old,
     New,
 }
 
-/// Canaries go to the new version, all other requests to the old one.
+/// Stage in which canaries go to the new version and all other requests to the old one.
 #[derive(Debug)]
 struct Canary;
 
-/// All requests go to the new version, while the old one could still take them back.
+/// Stage in which all requests go to the new version, while the old version can still take them back.
 #[derive(Debug)]
 struct Switching {
+    /// Time at which the roll-out is completed, unless the evidence shows a regression before.
     until: MonotonicTime,
 }
 
-/// The order is decided.
+/// Stage in which the order is decided.
 #[derive(Debug)]
 struct Settled {
     phase: RolloutPhase,
 }
 
+/// One stage of a roll-out; the type parameter states which.
 #[derive(Debug)]
 struct Stage<S> {
     order: RolloutOrder,
@@ -137,150 +141,152 @@
         self.into_state(Switching { until })
     }
 
-    /// How long all requests may go to the new version before the order ends.
+    /// Returns how long all requests may go to the new version before the order ends, within the permitted exposure.
     fn switch_length(&self, now: MonotonicTime, rules: RolloutRules) -> Duration {
         if now >= self.order.ends_at {
             return ROLLOUT_MAX_SWITCH;
         }
-        let left_s = self.order.ends_at.saturating_sub(now).as_secs_f64();
-        let expected = self.exposure.expected_requests(now, left_s);
+        let remaining_s = self.order.ends_at.saturating_sub(now).as_secs_f64();
+        let expected = self.exposure.expected_requests(now, remaining_s);
         let permitted = rules.exposed_share * ROLLOUT_EXPOSURE_USE * expected
             + rules.exposed_slack * ROLLOUT_SLACK_USE;
-        let left = (permitted - self.exposure.exposed()).max(0.0);
-        let length_s = left / self.exposure.requests_per_s(now).max(1.0);
+        let remaining = (permitted - self.exposure.exposed()).max(0.0);
+        let length_s = remaining / self.exposure.requests_per_s(now).max(1.0);
         Duration::from_secs_f64(length_s).min(ROLLOUT_MAX_SWITCH)
     }
 }
 
+/// A roll-out in any of its stages.
 #[derive(Debug)]
-enum Stages {
+enum AnyStage {
     Canary(Stage<Canary>),
     Switching(Stage<Switching>),
     Settled(Stage<Settled>),
 }
 
-/// A roll-out at the owner of its service.
+/// The state of a roll-out at the owner of its service.
 #[derive(Debug)]
 pub(crate) struct Rollout {
-    stages: Stages,
-    judged_at: MonotonicTime,
+    stage: AnyStage,
+    evaluated_at: MonotonicTime,
     recent_since: MonotonicTime,
+    /// Whether the step that makes the order known was returned.
     is_announced: bool,
 }
 
-/// What the owner knows of the service's upstreams at a moment.
+/// What the owner knows about the service when a roll-out advances.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RolloutInputs {
     pub(crate) now: MonotonicTime,
-    /// Upstreams of the new version that take requests.
+    /// Number of upstreams of the new version that take requests.
     pub(crate) new_upstreams: usize,
-    /// Whether this owner sees most of the nodes.
+    /// Whether this owner sees a majority of the nodes; without one it decides nothing.
     pub(crate) may_decide: bool,
 }
 
 impl Rollout {
-    /// A roll-out that begins now, with canaries in groups of `group`.
+    /// Creates a roll-out that begins now and sends canaries in groups of `group`.
     pub(crate) fn new(now: MonotonicTime, order: RolloutOrder, group: u32) -> Self {
         Self {
-            stages: Stages::Canary(Stage {
+            stage: AnyStage::Canary(Stage {
                 order,
                 evidence: Evidence::default(),
                 exposure: Exposure::new(now, group),
                 state: Canary,
             }),
-            judged_at: now,
+            evaluated_at: now,
             recent_since: now,
             is_announced: false,
         }
     }
 
     fn order_mut(&mut self) -> &mut RolloutOrder {
-        match &mut self.stages {
-            Stages::Canary(stage) => &mut stage.order,
-            Stages::Switching(stage) => &mut stage.order,
-            Stages::Settled(stage) => &mut stage.order,
+        match &mut self.stage {
+            AnyStage::Canary(stage) => &mut stage.order,
+            AnyStage::Switching(stage) => &mut stage.order,
+            AnyStage::Settled(stage) => &mut stage.order,
         }
     }
 
     pub(crate) fn order(&self) -> &RolloutOrder {
-        match &self.stages {
-            Stages::Canary(stage) => &stage.order,
-            Stages::Switching(stage) => &stage.order,
-            Stages::Settled(stage) => &stage.order,
+        match &self.stage {
+            AnyStage::Canary(stage) => &stage.order,
+            AnyStage::Switching(stage) => &stage.order,
+            AnyStage::Settled(stage) => &stage.order,
         }
     }
 
     pub(crate) fn phase(&self) -> RolloutPhase {
-        match &self.stages {
-            Stages::Canary(_) | Stages::Switching(_) => RolloutPhase::Serving,
-            Stages::Settled(stage) => stage.state.phase,
+        match &self.stage {
+            AnyStage::Canary(_) | AnyStage::Switching(_) => RolloutPhase::Serving,
+            AnyStage::Settled(stage) => stage.state.phase,
         }
     }
 
-    /// Takes over the order's end as another node knows it.
-    pub(crate) fn renew(&mut self, order: RolloutOrder) {
+    /// Replaces the order, whose end may have changed.
+    pub(crate) fn update_order(&mut self, order: RolloutOrder) {
         *self.order_mut() = order;
     }
 
-    /// Takes over what was decided elsewhere.
+    /// Applies a decision that was made elsewhere; [`RolloutPhase::Serving`] changes nothing.
     pub(crate) fn settle(self, phase: RolloutPhase) -> Self {
-        let stages = match self.stages {
-            _ if phase == RolloutPhase::Serving => self.stages,
-            Stages::Canary(stage) => Stages::Settled(stage.settle(phase)),
-            Stages::Switching(stage) => Stages::Settled(stage.settle(phase)),
-            Stages::Settled(stage) => Stages::Settled(stage.settle(phase)),
+        let stage = match self.stage {
+            _ if phase == RolloutPhase::Serving => self.stage,
+            AnyStage::Canary(stage) => AnyStage::Settled(stage.settle(phase)),
+            AnyStage::Switching(stage) => AnyStage::Settled(stage.settle(phase)),
+            AnyStage::Settled(stage) => AnyStage::Settled(stage.settle(phase)),
         };
-        Self { stages, ..self }
+        Self { stage, ..self }
     }
 
-    fn main_track(&self) -> Track {
-        match &self.stages {
-            Stages::Canary(_) => Track::Old,
-            Stages::Switching(_) => Track::New,
-            Stages::Settled(stage) => match stage.state.phase {
-                RolloutPhase::Completed => Track::New,
-                RolloutPhase::Serving | RolloutPhase::RolledBack => Track::Old,
+    fn main_version(&self) -> MainVersion {
+        match &self.stage {
+            AnyStage::Canary(_) => MainVersion::Old,
+            AnyStage::Switching(_) => MainVersion::New,
+            AnyStage::Settled(stage) => match stage.state.phase {
+                RolloutPhase::Completed => MainVersion::New,
+                RolloutPhase::Serving | RolloutPhase::RolledBack => MainVersion::Old,
             },
         }
     }
 
-    /// Whether requests that are no canaries may go to an upstream of `version`.
+    /// Whether requests other than canaries may go to upstreams of `version`.
     pub(crate) fn takes_main_traffic(&self, version: &UpstreamVersion) -> bool {
-        self.is_new(version) == (self.main_track() == Track::New)
+        self.is_new(version) == (self.main_version() == MainVersion::New)
     }
 
     pub(crate) fn is_new(&self, version: &UpstreamVersion) -> bool {
         *version == self.order().to
     }
 
-    /// Whether canaries are sent now.
+    /// Whether the roll-out is in the stage that sends canaries.
     pub(crate) fn sends_canaries(&self) -> bool {
-        matches!(self.stages, Stages::Canary(_))
+        matches!(self.stage, AnyStage::Canary(_))
     }
 
-    /// Whether both versions are being compared.
+    /// Whether the roll-out is undecided, so that both versions are still being compared.
     pub(crate) fn is_undecided(&self) -> bool {
         self.phase() == RolloutPhase::Serving
     }
 
-    /// Counts a request of the service; says whether it is to be a canary.
+    /// Counts a request of the service; returns whether it becomes a canary, which only an eligible request can.
     pub(crate) fn admit_canary(
         &mut self,
         route: &RouteName,
         rules: RolloutRules,
-        may_be: bool,
+        is_eligible: bool,
     ) -> bool {
-        match &mut self.stages {
-            Stages::Canary(stage) => stage.exposure.admit_canary(route, rules, may_be),
-            Stages::Switching(stage) => {
-                stage.exposure.asked_in_switch(route);
+        match &mut self.stage {
+            AnyStage::Canary(stage) => stage.exposure.admit_canary(route, rules, is_eligible),
+            AnyStage::Switching(stage) => {
+                stage.exposure.count_switch_request(route);
                 false
             }
-            Stages::Settled(_) => false,
+            AnyStage::Settled(_) => false,
         }
     }
 
-    /// Records how a run of either version ended.
+    /// Adds the sample of a run at either version to the evidence.
     pub(crate) fn observe(
         &mut self,
         version: &UpstreamVersion,
@@ -289,20 +295,21 @@
         sample: Sample,
     ) {
         let is_new = self.is_new(version);
-        match &mut self.stages {
-            Stages::Canary(stage) => stage.evidence.add(is_new, upstream, route, sample),
-            Stages::Switching(stage) => stage.evidence.add(is_new, upstream, route, sample),
-            Stages::Settled(_) => {}
+        match &mut self.stage {
+            AnyStage::Canary(stage) => stage.evidence.add(is_new, upstream, route, sample),
+            AnyStage::Switching(stage) => stage.evidence.add(is_new, upstream, route, sample),
+            AnyStage::Settled(_) => {}
         }
     }
 
-    /// Whether it is time to look at the evidence, or the order has not been announced yet.
+    /// Whether [`advance`](Self::advance) has to be called: the evidence is due for evaluation, or the order has not
+    /// been announced yet.
     pub(crate) fn is_due(&self, now: MonotonicTime) -> bool {
-        let is_time = now.saturating_sub(self.judged_at) >= ROLLOUT_JUDGE_INTERVAL;
-        self.is_undecided() && (is_time || !self.is_announced)
+        let is_due = now.saturating_sub(self.evaluated_at) >= ROLLOUT_EVALUATION_INTERVAL;
+        self.is_undecided() && (is_due || !self.is_announced)
     }
 
-    /// Goes on to the next stage where it is time; returns the steps that others have to learn of.
+    /// Evaluates the evidence and moves to the next stage if it is time; returns the steps that have to be published.
     pub(crate) fn advance(
         mut self,
         inputs: RolloutInputs,
@@ -316,17 +323,17 @@
             self.is_announced = true;
             steps.push(self.step("the order is known"));
         }
-        self.judged_at = inputs.now;
-        if inputs.now.saturating_sub(self.recent_since) > ROLLOUT_RECENT {
+        self.evaluated_at = inputs.now;
+        if inputs.now.saturating_sub(self.recent_since) > ROLLOUT_RECENT_WINDOW {
             self.recent_since = inputs.now;
             self.reset_recent();
         }
-        let (stages, reason) = match self.stages {
-            Stages::Canary(stage) => advance_canary(stage, inputs, rules),
-            Stages::Switching(stage) => advance_switch(stage, inputs),
-            Stages::Settled(stage) => (Stages::Settled(stage), None),
+        let (stage, reason) = match self.stage {
+            AnyStage::Canary(stage) => advance_canary(stage, inputs, rules),
+            AnyStage::Switching(stage) => advance_switch(stage, inputs),
+            AnyStage::Settled(stage) => (AnyStage::Settled(stage), None),
         };
-        self.stages = stages;
+        self.stage = stage;
         if let Some(reason) = reason {
             steps.push(self.step(&reason));
         }
@@ -334,18 +341,18 @@
     }
 
     fn reset_recent(&mut self) {
-        match &mut self.stages {
-            Stages::Canary(stage) => stage.evidence.reset_recent(),
-            Stages::Switching(stage) => stage.evidence.reset_recent(),
-            Stages::Settled(_) => {}
+        match &mut self.stage {
+            AnyStage::Canary(stage) => stage.evidence.reset_recent(),
+            AnyStage::Switching(stage) => stage.evidence.reset_recent(),
+            AnyStage::Settled(_) => {}
         }
     }
 
     fn has_requests(&self) -> bool {
-        match &self.stages {
-            Stages::Canary(stage) => stage.exposure.has_requests(),
-            Stages::Switching(stage) => stage.exposure.has_requests(),
-            Stages::Settled(_) => false,
+        match &self.stage {
+            AnyStage::Canary(stage) => stage.exposure.has_requests(),
+            AnyStage::Switching(stage) => stage.exposure.has_requests(),
+            AnyStage::Settled(_) => false,
         }
     }
 
@@ -358,71 +365,73 @@
     }
 }
 
-/// From canaries to the switch, or back; the text is the reason of a decision.
+/// Advances from the canaries to the switch, or rolls back. The text is the reason of a decision.
 fn advance_canary(
     stage: Stage<Canary>,
     inputs: RolloutInputs,
     rules: RolloutRules,
-) -> (Stages, Option<String>) {
-    if let Some(fault) = stage.evidence.fault() {
+) -> (AnyStage, Option<String>) {
+    if let Some(regression) = stage.evidence.regression() {
         return (
-            Stages::Settled(stage.settle(RolloutPhase::RolledBack)),
-            Some(fault),
+            AnyStage::Settled(stage.settle(RolloutPhase::RolledBack)),
+            Some(regression),
         );
     }
     let is_over = inputs.now >= stage.order.ends_at;
     if is_over && inputs.new_upstreams == 0 {
         let reason = "no upstream of the new version takes requests".to_owned();
         return (
-            Stages::Settled(stage.settle(RolloutPhase::RolledBack)),
+            AnyStage::Settled(stage.settle(RolloutPhase::RolledBack)),
             Some(reason),
         );
     }
-    let length = stage.switch_length(inputs.now, rules);
-    // All requests go to the new version from the switch to the order's end, whether it is completed by then or not.
-    let is_time = inputs.now + length >= stage.order.ends_at;
-    if !is_time || inputs.new_upstreams == 0 || !stage.evidence.is_sufficient() {
-        return (Stages::Canary(stage), None);
+    let switch_length = stage.switch_length(inputs.now, rules);
+    // After the switch, all requests go to the new version until the order ends, whether the roll-out is completed
+    // before that or not.
+    let is_due = inputs.now + switch_length >= stage.order.ends_at;
+    if !is_due || inputs.new_upstreams == 0 || !stage.evidence.is_sufficient() {
+        return (AnyStage::Canary(stage), None);
     }
     let until = if is_over {
-        inputs.now + length
+        inputs.now + switch_length
     } else {
         stage.order.ends_at.saturating_sub(ROLLOUT_SETTLE_MARGIN)
     };
-    (Stages::Switching(stage.switch(until)), None)
+    (AnyStage::Switching(stage.switch(until)), None)
 }
 
-/// From the switch to the end, or back.
-fn advance_switch(stage: Stage<Switching>, inputs: RolloutInputs) -> (Stages, Option<String>) {
-    if let Some(fault) = stage.evidence.fault() {
+/// Advances from the switch to completion, or rolls back. The text is the reason of a decision.
+fn advance_switch(stage: Stage<Switching>, inputs: RolloutInputs) -> (AnyStage, Option<String>) {
+    if let Some(regression) = stage.evidence.regression() {
         return (
-            Stages::Settled(stage.settle(RolloutPhase::RolledBack)),
-            Some(fault),
+            AnyStage::Settled(stage.settle(RolloutPhase::RolledBack)),
+            Some(regression),
         );
     }
     if inputs.now < stage.state.until {
-        return (Stages::Switching(stage), None);
+        return (AnyStage::Switching(stage), None);
     }
     let reason = stage.evidence.describe();
     (
-        Stages::Settled(stage.settle(RolloutPhase::Completed)),
+        AnyStage::Settled(stage.settle(RolloutPhase::Completed)),
         Some(reason),
     )
 }
 
-/// What a run says of its version that has not ended long after it should have.
+/// Returns the sample of a run that has not ended long after its predicted end.
 pub(crate) fn overdue_sample() -> Sample {
     Sample::Failed
 }
 
-/// What a run's end says of its version; nothing if it says nothing.
+/// Returns the sample of a run that ended; absent if its end says nothing about the version.
 pub(crate) fn sample_of(outcome: RunOutcome, took_ms: f64, expected_ms: f64) -> Option<Sample> {
-    let compared_ms = |ms: f64| ms.max(ROLLOUT_MIN_COMPARED_MS);
-    let log_ratio = (compared_ms(took_ms) / compared_ms(expected_ms)).ln();
+    let clamp_ms = |ms: f64| ms.max(ROLLOUT_MIN_COMPARED_MS);
+    let log_ratio = (clamp_ms(took_ms) / clamp_ms(expected_ms)).ln();
     match outcome {
         RunOutcome::Completed => Some(Sample::Answered { log_ratio }),
         RunOutcome::Failed | RunOutcome::Broken => Some(Sample::Failed),
-        // A caller that left, or the time that ran out, says something only of a run that took far too long.
+        // The caller left or the request timed out. That says something about the version only if the run took far too
+        // long.
         RunOutcome::Cancelled => {
             (log_ratio > evidence::SLOW_LOG_RATIO).then_some(Sample::Answered { log_ratio })
         }
--- a/crates/dragonflystep_dispatch/src/routing.rs
+++ b/crates/dragonflystep_dispatch/src/routing.rs
@@ -1,4 +1,4 @@
-//! Finds the route and the account of a request.
+//! Finds the route, the account and the service of a request.
 
 use {
     crate::{
@@ -11,34 +11,34 @@
 /// Why a request has no route or may not use it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingError {
-    /// No route fits the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The route requires a key, and the key is missing or unknown.
     UnknownKey,
 }
 
-/// The route of a request, and who pays for it.
+/// The route, account and service of a request.
 #[derive(Clone, Debug)]
 pub struct RouteMatch {
-    /// The route.
+    /// The route that matches the request's host and path.
     pub route: Arc<Route>,
-    /// The account; none on routes without keys.
+    /// The account that the key belongs to; absent if the route requires no key.
     pub account: Option<Arc<Account>>,
-    /// The service that the request goes to.
+    /// The service to which the request is sent.
     pub service: ServiceName,
 }
 
 impl RouteMatch {
-    /// The request's rank: that of the account goes before that of the route, which decides among
-    /// accounts of the same rank.
+    /// Returns the priority of the request. The account's tier takes precedence; the route's tier decides among
+    /// accounts of the same tier and stands in for an absent account tier.
     pub fn tier(&self) -> Tier {
         let account = self.account.as_ref().and_then(|account| account.tier);
-        let first = Tier::from(account.unwrap_or(self.route.tier));
-        first << 8 | Tier::from(self.route.tier)
+        let account_tier = Tier::from(account.unwrap_or(self.route.tier));
+        account_tier << 8 | Tier::from(self.route.tier)
     }
 }
 
-/// A catalogue, prepared for lookups.
+/// A catalogue with indexes for finding routes, accounts and services.
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     catalogue: Arc<Catalogue>,
@@ -48,7 +48,7 @@
 }
 
 impl RoutingTable {
-    /// Prepares `catalogue` for lookups.
+    /// Builds the indexes of `catalogue`.
     ///
     /// # Examples
     /// ```
@@ -62,8 +62,8 @@
         let catalogue = catalogue.into();
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
         for route in &catalogue.routes {
-            let of_host = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            of_host.add(route);
+            let host_routes = hosts.entry(route.host.to_ascii_lowercase()).or_default();
+            host_routes.add(route);
         }
         let mut accounts = HashMap::new();
         for account in &catalogue.accounts {
@@ -85,22 +85,22 @@
         }
     }
 
-    /// The catalogue that the table was made from.
+    /// Returns the catalogue that the table was built from.
     pub fn catalogue(&self) -> &Arc<Catalogue> {
         &self.catalogue
     }
 
-    /// A service of the catalogue.
+    /// Returns the service of the catalogue with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
     /// Finds the route of a request by its host and path, and its account by its key.
     ///
-    /// `draw` picks among the services of a route by their weights; any number will do.
+    /// `draw` selects one of the route's services by weight; it should be a random number.
     ///
     /// # Errors
-    /// When no route fits, or the key that the route asks for is missing or unknown.
+    /// Returns an error if no route matches, or if the route requires a key and the key is missing or unknown.
     pub fn find(
         &self,
         host: &str,
@@ -139,14 +139,14 @@
 
 /// Routes of one host.
 ///
-/// Prefixes end with a slash almost always, so that a request's route is one of as many lookups as its path has
-/// slashes, however many routes its host has.
+/// Nearly all prefixes end with a slash. So a route is found with at most one lookup per slash of the request's path,
+/// however many routes the host has.
 #[derive(Debug, Default)]
 struct HostRoutes {
-    /// Routes whose prefix ends with a slash.
+    /// Routes whose prefix ends with a slash, by prefix.
     by_folder: HashMap<String, Arc<Route>>,
     longest_folder_bytes: usize,
-    /// The others, longest prefix first.
+    /// All other routes, longest prefix first.
     others: Vec<Arc<Route>>,
 }
 
@@ -159,12 +159,12 @@
                 .or_insert_with(|| Arc::new(route.clone()));
             return;
         }
-        let shorter = |other: &Arc<Route>| other.prefix.len() >= route.prefix.len();
-        let index = self.others.partition_point(shorter);
+        let is_at_least_as_long = |other: &Arc<Route>| other.prefix.len() >= route.prefix.len();
+        let index = self.others.partition_point(is_at_least_as_long);
         self.others.insert(index, Arc::new(route.clone()));
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route with the longest prefix that matches the path.
     fn find(&self, path: &str) -> Option<&Arc<Route>> {
         let slashes = path.bytes().take(self.longest_folder_bytes).enumerate();
         let folders = slashes.rev().filter(|(_, byte)| *byte == b'/');
@@ -180,18 +180,23 @@
     }
 }
 
+/// Selects one of the route's services by weight; the first one if all weights are zero.
 fn pick_target(route: &Route, draw: u64) -> Option<ServiceName> {
-    let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
+    let total: u64 = route
+        .targets
+        .iter()
+        .map(|target| u64::from(target.weight))
+        .sum();
     if total == 0 {
         return route.targets.first().map(|target| target.service.clone());
     }
-    let mut left = draw % total;
+    let mut remaining = draw % total;
     for target in &route.targets {
         let weight = u64::from(target.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(target.service.clone());
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
--- a/crates/dragonflystep_dispatch/src/speed.rs
+++ b/crates/dragonflystep_dispatch/src/speed.rs
@@ -1,7 +1,8 @@
-//! Measured speeds of upstreams, and the durations that they predict.
+//! Learns the speeds of upstreams and the durations of routes, from which run times are predicted.
 //!
-//! Upstreams of one service differ several times in speed and nobody says how much. Each end of a run
-//! tells two figures of its upstream; a service's means stand in for an upstream not yet measured.
+//! Upstreams of one service differ in speed by a factor of several, and no source states by how much. So each finished
+//! run contributes a prefill time per token and a time per event to the weighted means of its upstream. For an upstream
+//! without finished runs, the service's mean speed is assumed.
 
 use {
     crate::{
@@ -15,17 +16,17 @@
     std::collections::HashMap,
 };
 
-/// Smallest duration that is divided by, in milliseconds.
+/// Lower bound of divisors, in milliseconds; prevents division by zero.
 const SMALLEST_MS: f64 = 1e-4;
 
-/// How fast an upstream reads and writes.
+/// Prefill and decode speed of an upstream, and its speed on plain calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Speed {
-    /// Milliseconds to read a prompt token.
+    /// Prefill time per prompt token, in milliseconds.
     pub(crate) prefill_ms_per_token: f64,
-    /// Milliseconds from one event to the next.
+    /// Time from one event of a stream to the next, in milliseconds.
     pub(crate) ms_per_event: f64,
-    /// Duration of a plain call against the mean of its route.
+    /// Ratio of the duration of a plain call to the mean duration on its route.
     pub(crate) plain_ratio: f64,
 }
 
@@ -40,34 +41,35 @@
 }
 
 impl Speed {
-    /// Learns from the end of a stream that had `tokens_read` to be read before its first event.
-    pub(crate) fn learn_stream(&mut self, ended: &RunReport, tokens_read: f64) {
-        let Some(to_first) = ended.to_first_event else {
+    /// Learns from a finished stream that had `prefill_tokens` to be prefilled before its first event.
+    pub(crate) fn learn_stream(&mut self, report: &RunReport, prefill_tokens: f64) {
+        let Some(to_first) = report.to_first_event else {
             return;
         };
         let first_ms = to_first.as_secs_f64() * 1e3;
-        if tokens_read >= MIN_MEASURED_PROMPT_TOKENS {
-            let sample = (first_ms - FIRST_EVENT_BASE_MS).max(0.5) / tokens_read;
-            move_mean(&mut self.prefill_ms_per_token, sample);
+        if prefill_tokens >= MIN_MEASURED_PROMPT_TOKENS {
+            let sample = (first_ms - FIRST_EVENT_BASE_MS).max(0.5) / prefill_tokens;
+            update_mean(&mut self.prefill_ms_per_token, sample);
         }
-        if ended.events > 3 {
-            let rest_ms = (ended.to_end.as_secs_f64() * 1e3 - first_ms).max(0.0);
-            move_mean(
+        if report.events > 3 {
+            let rest_ms = (report.to_end.as_secs_f64() * 1e3 - first_ms).max(0.0);
+            update_mean(
                 &mut self.ms_per_event,
-                rest_ms / f64::from(ended.events - 1),
+                rest_ms / f64::from(report.events - 1),
             );
         }
     }
 
-    /// Learns from the end of a plain call whose route takes `mean_ms`.
-    pub(crate) fn learn_plain(&mut self, ended: &RunReport, mean_ms: f64) {
-        let sample = ended.to_end.as_secs_f64() * 1e3 / mean_ms.max(1.0);
-        move_mean(&mut self.plain_ratio, sample.min(10.0));
+    /// Learns from a finished plain call on a route whose calls take `mean_ms` on average.
+    pub(crate) fn learn_plain(&mut self, report: &RunReport, mean_ms: f64) {
+        let sample = report.to_end.as_secs_f64() * 1e3 / mean_ms.max(1.0);
+        update_mean(&mut self.plain_ratio, sample.min(10.0));
     }
 
-    /// The speed of the whole of several upstreams: a fast one does more of the work, so that rates are
-    /// averaged and not durations.
-    pub(crate) fn joint<'a>(speeds: impl Iterator<Item = &'a Self>) -> Self {
+    /// Returns the mean speed of several upstreams, or the default speed if there are none.
+    ///
+    /// This is the harmonic mean of the durations: it averages rates, since a fast upstream does more of the work.
+    pub(crate) fn mean<'a>(speeds: impl Iterator<Item = &'a Self>) -> Self {
         let (mut rates, mut count) = ((0.0, 0.0, 0.0), 0.0);
         for speed in speeds {
             rates.0 += 1.0 / speed.prefill_ms_per_token.max(SMALLEST_MS);
@@ -86,29 +88,29 @@
     }
 }
 
-/// Means learned from the runs of a service's routes.
+/// Means learned from the finished runs of each route of a service.
 #[derive(Debug, Default)]
 pub(crate) struct RouteAverages {
-    /// Events that came for each that was expected.
+    /// Ratio of the events that arrived to those that were expected.
     events_ratio: HashMap<RouteName, f64>,
-    /// Milliseconds of a plain call.
+    /// Mean duration of a plain call, in milliseconds.
     plain_ms: HashMap<RouteName, f64>,
 }
 
 impl RouteAverages {
-    /// Learns from a whole answer.
+    /// Learns from a complete answer: the ratio of events for a stream, the duration for a plain call.
     pub(crate) fn learn(
         &mut self,
         route: &RouteName,
-        ended: &RunReport,
+        report: &RunReport,
         expected_events: Option<f64>,
     ) {
         match expected_events {
             Some(expected) => {
                 let ratio = self.events_ratio.entry(route.clone()).or_insert(1.0);
-                move_mean(
+                update_mean(
                     ratio,
-                    (f64::from(ended.events) / expected.max(1.0)).min(10.0),
+                    (f64::from(report.events) / expected.max(1.0)).min(10.0),
                 );
             }
             None => {
@@ -116,12 +118,12 @@
                     .plain_ms
                     .entry(route.clone())
                     .or_insert(INITIAL_PLAIN_MS);
-                move_mean(mean, ended.to_end.as_secs_f64() * 1e3);
+                update_mean(mean, report.to_end.as_secs_f64() * 1e3);
             }
         }
     }
 
-    /// Milliseconds that a plain call of the route takes on a mean upstream.
+    /// Returns the mean duration of a plain call on the route, in milliseconds.
     pub(crate) fn plain_ms(&self, route: &RouteName) -> f64 {
         self.plain_ms
             .get(route)
@@ -129,13 +131,14 @@
             .unwrap_or(INITIAL_PLAIN_MS)
     }
 
-    /// Events that a stream of the route is expected to have.
+    /// Predicts the number of events of a stream on the route.
     pub(crate) fn events(&self, route: &RouteName, size: &WorkSize, tokens_per_event: u32) -> f64 {
         let ratio = self.events_ratio.get(route).copied().unwrap_or(1.0);
         (f64::from(size.output_tokens) / f64::from(tokens_per_event.max(1)) * ratio).max(1.0)
     }
 }
 
-fn move_mean(mean: &mut f64, sample: f64) {
+/// Adds a sample to an exponentially weighted mean.
+fn update_mean(mean: &mut f64, sample: f64) {
     *mean += (sample - *mean) * MEAN_WEIGHT;
 }
