--- a/crates/dragonflystep_dispatch/src/upstream.rs
+++ b/crates/dragonflystep_dispatch/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as its owner sees it: its entry in the registry, what runs there and how it behaves.
+//! The state of one upstream at its owner: its registry entry, its runs, its learned speed, and its circuit breaker.
 
 use {
     crate::{
@@ -21,19 +21,19 @@
 /// An upstream's entry in the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Identifies this start of the upstream.
+    /// Identifies this start of the upstream; a restarted upstream gets another entry.
     pub id: UpstreamId,
-    /// The service that it belongs to.
+    /// The service whose requests it runs.
     pub service: ServiceName,
-    /// Where it listens, as IP:PORT.
+    /// Address at which it listens, as IP:PORT.
     pub address: String,
-    /// Where it runs.
+    /// The data centre in which it runs.
     pub data_centre: DataCentreName,
-    /// Requests that it runs at once, if it says so.
+    /// Number of requests that it runs at once; absent if it does not state one.
     pub slots: Option<u32>,
     /// Whether it takes new requests.
     pub phase: UpstreamPhase,
-    /// The version of its software.
+    /// Version of its software; empty if unknown.
     #[serde(default = "unknown_version")]
     pub version: UpstreamVersion,
 }
@@ -42,48 +42,50 @@
     "".into()
 }
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream takes new requests, according to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamPhase {
-    /// It takes them.
+    /// The upstream takes new requests.
     Ready,
-    /// It is about to leave and takes none.
+    /// The upstream is about to leave and takes no new requests.
     Draining,
 }
 
-/// A run at an upstream.
+/// An active run at an upstream, with its predicted times.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) request: SlotRequest,
-    /// Tokens to be read before its first event, those of earlier runs included.
+    /// Tokens to be prefilled before its first event, including those of earlier runs.
     pub(crate) prefill_backlog_tokens: f64,
     pub(crate) first_event_expected_at: MonotonicTime,
     pub(crate) end_expected_at: MonotonicTime,
-    /// Whether it was counted as failed since it takes far too long.
+    /// Whether it was counted as failed in a roll-out because it is long overdue.
     pub(crate) is_overdue: bool,
 }
 
-/// An upstream with what its owner knows of it.
+/// An upstream with everything that its owner knows about it.
 #[derive(Debug)]
 pub(crate) struct LiveUpstream {
     pub(crate) entry: Upstream,
     pub(crate) runs: HashMap<RunId, Run>,
     pub(crate) speed: Speed,
     pub(crate) prefix_cache: PrefixCache,
-    /// Share of the last runs that failed.
+    /// Exponentially weighted share of its recent runs that failed.
     pub(crate) failure_rate: f64,
-    /// Canaries that it got, while its version was new.
+    /// Number of canaries that it got.
     pub(crate) canaries: u32,
-    /// Requests there that this owner did not place, and until when that is believed.
+    /// Number of requests there that this owner did not place; valid until `foreign_until`.
     foreign_runs: u32,
     foreign_until: MonotonicTime,
     failures_in_row: u32,
-    /// Whether its last failure was that no connection could be opened.
+    /// Whether the last failure was that no connection could be opened.
     is_unreachable: bool,
+    /// Length of the next back-off; doubles with each back-off, up to [`MAX_BACK_OFF`].
     back_off: Duration,
     back_off_until: MonotonicTime,
-    /// Keeps to the rate limit that it names.
+    /// Enforces the rate limit that the upstream stated; absent if it stated none.
     pacer: Option<RequestPacer>,
+    /// The back-off that the upstream itself requested in its refusals.
     pub(crate) requested_back_off: RequestedBackOff,
 }
 
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Keeps to what it said of itself; of its rate limit this owner may use a share.
+    /// Applies the upstream's own notices; this owner may use `share` of its rate limit.
     pub(crate) fn apply_notices(
         &mut self,
         now: MonotonicTime,
@@ -130,57 +132,60 @@
         };
     }
 
-    /// Uses another share of its rate limit from now on.
+    /// Changes the share of the upstream's rate limit that this owner may use.
     pub(crate) fn set_rate_share(&mut self, now: MonotonicTime, share: f64) {
         if let Some(pacer) = &mut self.pacer {
             pacer.set_share(now, share);
         }
     }
 
-    /// Requests a second that this owner may send there, if it is limited.
+    /// Returns the requests per second that this owner may send, if the upstream stated a rate limit.
     pub(crate) fn limited_per_s(&self) -> Option<f64> {
         self.pacer.as_ref().map(RequestPacer::requests_per_s)
     }
 
-    /// Whether its rate limit leaves room for a request.
+    /// Whether the rate limit permits another request now.
     pub(crate) fn has_permit(&self, now: MonotonicTime) -> bool {
         let pacer = self.pacer.as_ref();
         pacer.is_none_or(|pacer| pacer.has_permit(now))
     }
 
-    /// Counts a request against what it permits.
-    pub(crate) fn note_sent(&mut self, now: MonotonicTime) {
-        self.requested_back_off.note_sent(now);
+    /// Records that a request is sent, for the rate limit and the requested back-off.
+    pub(crate) fn record_sent(&mut self, now: MonotonicTime) {
+        self.requested_back_off.record_sent(now);
         if let Some(pacer) = &mut self.pacer {
             pacer.take(now);
         }
     }
 
-    /// Requests that it has under way at once when all of `run_ms` are sent that it takes.
+    /// Returns the number of runs of length `run_ms` that are active at once when the upstream gets all that its slots
+    /// and its rate limit permit.
     pub(crate) fn effective_slots(&self, run_ms: f64) -> f64 {
-        let places = f64::from(self.slots());
+        let slots = f64::from(self.slots());
         self.limited_per_s()
-            .map_or(places, |rate| places.min(rate * run_ms / 1e3))
+            .map_or(slots, |rate| slots.min(rate * run_ms / 1e3))
     }
 
-    /// Lets it rest until a time.
+    /// Backs the upstream off until `until` at least.
     pub(crate) fn extend_back_off(&mut self, until: MonotonicTime) {
         self.back_off_until = self.back_off_until.max(until);
     }
 
-    /// Orders upstreams by who gets the next canary: all in turn, so that one faulty upstream does not stand for its
-    /// version, and each as many as run at once, so that they meet some load.
-    pub(crate) fn canary_turn(&self) -> (u32, Reverse<u32>) {
+    /// Sort key for the upstream that gets the next canary; the smallest goes first.
+    ///
+    /// All upstreams take turns, so that one faulty upstream does not stand for its version. In its turn an upstream
+    /// gets as many canaries as it has slots, so that they run under some load.
+    pub(crate) fn canary_order(&self) -> (u32, Reverse<u32>) {
         let slots = self.slots();
         (self.canaries / slots, Reverse(self.canaries % slots))
     }
 
-    /// Requests that run at once.
+    /// Returns the number of requests that the upstream runs at once.
     pub(crate) fn slots(&self) -> u32 {
         self.entry.slots.unwrap_or(DEFAULT_SLOTS).max(1)
     }
 
-    /// Whether it takes requests at all now.
+    /// Whether the upstream is ready and not backed off; it may still be full.
     pub(crate) fn is_usable(&self, now: MonotonicTime) -> bool {
         self.entry.phase == UpstreamPhase::Ready
             && now >= self.back_off_until
@@ -195,39 +200,41 @@
         {
             return false;
         }
-        // After a rest one request at a time shows whether the upstream is back.
-        let is_on_trial = self.failures_in_row >= FAILURES_BEFORE_BACK_OFF;
-        let places = if is_on_trial { 1 } else { self.slots() };
+        // After a back-off, one request at a time shows whether the upstream has recovered.
+        let is_probing = self.failures_in_row >= FAILURES_BEFORE_BACK_OFF;
+        let slots = if is_probing { 1 } else { self.slots() };
         let foreign = if now < self.foreign_until {
             self.foreign_runs
         } else {
             0
         };
-        self.runs.len() as u32 + foreign < places
+        self.runs.len() as u32 + foreign < slots
     }
 
-    /// Records that requests wait here, which only happens when others than this owner place some.
-    pub(crate) fn note_load(&mut self, now: MonotonicTime, load: &UpstreamLoad) {
+    /// Records the reported load. Requests only wait at the upstream if someone other than this owner places some
+    /// there.
+    pub(crate) fn record_load(&mut self, now: MonotonicTime, load: &UpstreamLoad) {
         if load.waiting == 0 {
             return;
         }
-        let all = load.running + load.waiting;
-        self.foreign_runs = all.saturating_sub(self.runs.len() as u32);
+        let total = load.running + load.waiting;
+        self.foreign_runs = total.saturating_sub(self.runs.len() as u32);
         self.foreign_until = now + FOREIGN_LOAD_MEMORY;
     }
 
-    /// Whether it could run a request although it rests, for failures of its answers or because it refused another node.
+    /// Whether the upstream could run a request although it is backed off for failed answers, or because it refused
+    /// another node.
     pub(crate) fn has_fallback_slot(&self, now: MonotonicTime) -> bool {
         if self.entry.phase != UpstreamPhase::Ready || !self.has_permit(now) {
             return false;
         }
-        let is_tried = self.requested_back_off.may_be_tried(now) && self.runs.is_empty();
-        let is_resting = now < self.requested_back_off.until();
-        let has_place = (self.runs.len() as u32) < self.slots();
-        is_tried || (!is_resting && self.is_suspended() && has_place)
+        let is_probe = self.requested_back_off.may_be_probed_early(now) && self.runs.is_empty();
+        let wants_back_off = now < self.requested_back_off.until();
+        let has_slot = (self.runs.len() as u32) < self.slots();
+        is_probe || (!wants_back_off && self.is_suspended() && has_slot)
     }
 
-    /// When the prompts that are here now will be read.
+    /// Predicts when the prompts of all current runs will have been prefilled.
     pub(crate) fn prefill_done_at(&self, now: MonotonicTime) -> MonotonicTime {
         let last = self
             .runs
@@ -237,23 +244,23 @@
         last.unwrap_or(now).max(now)
     }
 
-    /// Whether it is at rest, or on trial after a rest, because its answers fail.
+    /// Whether the circuit breaker is open or half-open because the upstream's answers fail.
     pub(crate) fn is_suspended(&self) -> bool {
         self.failures_in_row >= FAILURES_BEFORE_BACK_OFF && !self.is_unreachable
     }
 
-    /// Notes how a run ended; for failed answers it rests only if `may_rest`.
-    pub(crate) fn note_outcome(
+    /// Records how a run ended. Failed answers lead to a back-off only if `may_back_off` is set.
+    pub(crate) fn record_outcome(
         &mut self,
         now: MonotonicTime,
         outcome: RunOutcome,
         may_back_off: bool,
     ) {
-        let failed = match outcome {
+        let has_failed = match outcome {
             RunOutcome::Completed => false,
             RunOutcome::Failed | RunOutcome::Broken | RunOutcome::Unreachable => true,
             RunOutcome::Misdirected => {
-                // The address belongs to another upstream; the registry will say so shortly.
+                // The address now belongs to another upstream; the registry will show that shortly.
                 self.back_off_until = now + MAX_BACK_OFF;
                 return;
             }
@@ -263,9 +270,9 @@
             }
             RunOutcome::Cancelled | RunOutcome::Withheld => return,
         };
-        let sample = if failed { 1.0 } else { 0.0 };
+        let sample = if has_failed { 1.0 } else { 0.0 };
         self.failure_rate += (sample - self.failure_rate) * MEAN_WEIGHT;
-        if !failed {
+        if !has_failed {
             if self.is_suspended() {
                 self.back_off_until = now;
             }
@@ -285,7 +292,8 @@
         }
     }
 
-    /// Drops runs whose end was never reported.
+    /// Drops runs whose end was never reported. A run is kept past its predicted end for [`LOST_RUN_GRACE`], or for the
+    /// time that its caller had left if that is shorter.
     pub(crate) fn forget_old_runs(&mut self, now: MonotonicTime) {
         self.runs
             .retain(|_, run| now < run.end_expected_at + run.request.time_left.min(LOST_RUN_GRACE));
--- a/crates/dragonflystep_dispatch/src/usage.rs
+++ b/crates/dragonflystep_dispatch/src/usage.rs
@@ -1,8 +1,8 @@
-//! What accounts spent lately, as entry nodes saw it.
+//! Records what accounts recently used through an entry node, to report it to new owners.
 //!
-//! An owner keeps what accounts spent in memory only. When another node becomes the owner, each entry tells
-//! it what went through that entry within the last window, so that the new owner goes on where the one
-//! before stopped, however many owners follow one another.
+//! An owner keeps the usage of accounts only in memory. When another node becomes the owner, each entry node reports
+//! the usage that went through it within the last window. So the new owner continues where the previous one stopped,
+//! however often the owner changes.
 
 use {
     crate::ids::{AccountName, MonotonicTime, NodeName},
@@ -12,42 +12,43 @@
     },
 };
 
-/// Parts of a window in which spending is added up; a report holds at most so many figures an account, and
-/// takes spending for newer than it was by at most one part.
+/// Number of slices into which a window is divided. Usage is summed per slice and owner, which bounds the size of a
+/// report and makes usage appear newer than it is by at most one slice.
 const SLICES: u32 = 16;
 
-/// What an account spent within a short time.
+/// The units that an account used in one slice of the window, granted by one owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageSlice {
-    /// How long ago that time ended.
+    /// Time since the end of the slice; zero if it has not ended.
     pub age: Duration,
-    /// Units spent.
+    /// Units that the account used.
     pub units: f64,
-    /// Those of them that the receiver of the report granted.
+    /// Part of the units that the receiver of the report granted itself.
     pub units_granted_by_receiver: f64,
 }
 
-/// What an account spent through one entry.
+/// The units that an account used through one entry node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountUsage {
-    /// The account.
+    /// The account that used them.
     pub account: AccountName,
-    /// Its spending, the latest first.
+    /// Usage by slice, the latest first.
     pub slices: Vec<UsageSlice>,
 }
 
-/// What all accounts spent through one entry within the last window.
+/// The units that all accounts used through one entry node within the last window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageReport {
-    /// The entry.
+    /// The entry node that reports.
     pub node: NodeName,
-    /// How far back the report reaches; an entry that has just started knows nothing of before.
+    /// How far back the report reaches. An entry node that has just started knows nothing about the time before its
+    /// start.
     pub covers: Duration,
-    /// Accounts that spent something.
+    /// Usage of each account that used anything.
     pub accounts: Vec<AccountUsage>,
 }
 
-/// What accounts spent through this entry.
+/// An entry node's record of the units that accounts used through it.
 ///
 /// # Examples
 /// ```
@@ -65,11 +66,12 @@
 #[derive(Debug)]
 pub struct UsageLedger {
     window: Duration,
-    /// Whether nothing can have been spent before the zero of its clock.
+    /// Whether nothing can have been used before the zero of the clock, because the whole system started then.
     is_first_start: bool,
     accounts: HashMap<AccountName, VecDeque<Slice>>,
 }
 
+/// The units that one owner granted in one slice of time; `index` counts slices since the zero of the clock.
 #[derive(Debug)]
 struct Slice {
     index: u64,
@@ -78,8 +80,10 @@
 }
 
 impl UsageLedger {
-    /// A ledger that knows nothing before the zero of its clock, unless the whole system started then for the
-    /// first time.
+    /// Creates an empty ledger.
+    ///
+    /// `is_first_start` states that the whole system started for the first time at the zero of the clock, so that
+    /// reports cover a whole window from the beginning.
     pub fn new(window: Duration, is_first_start: bool) -> Self {
         Self {
             is_first_start,
@@ -88,7 +92,8 @@
         }
     }
 
-    /// Notes that `owner` granted `units` to an account; less than zero takes back what did not run.
+    /// Records that `owner` granted `units` to an account. A negative number takes back the units of a request that did
+    /// not run.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -121,7 +126,7 @@
         });
     }
 
-    /// What the entry `node` tells the owner `receiver`.
+    /// Builds the report of the entry node `node` to the owner `receiver`, and drops slices that are too old.
     pub fn report(&mut self, now: MonotonicTime, node: NodeName, receiver: &str) -> UsageReport {
         let oldest = self.index_of(now).saturating_sub(u64::from(SLICES));
         for slices in self.accounts.values_mut() {
