--- a/crates/dragonflystep_dispatch/src/dispatcher.rs
+++ b/crates/dragonflystep_dispatch/src/dispatcher.rs
@@ -63,16 +63,16 @@
     RunEnded(RunReport),
     /// An entry node reported an active run that another owner granted.
     RunAdopted(ActiveRun),
-    /// An entry node reported what accounts recently used through it. It does so before its first slot request to this
-    /// owner.
+    /// An entry node reported what accounts recently used through it, which it does before it sends slot requests to a
+    /// new owner.
     UsageReported(UsageReport),
     /// The list of nodes changed and now has this length.
     NodeCountChanged(usize),
     /// The limits that operators set for all nodes together changed.
     LimitsChanged(SharedLimits),
-    /// A new version of the catalogue is in force.
+    /// A new version of the catalogue came into force.
     CatalogueChanged(Arc<Catalogue>),
-    /// The registry of upstreams changed; contains all entries.
+    /// The registry of upstreams changed; contains all of its entries.
     UpstreamsChanged(Vec<Upstream>),
     /// The number of nodes that this node sees changed.
     VisibilityChanged(Visibility),
@@ -122,8 +122,8 @@
 pub struct Dispatcher {
     retry_limits: RetryLimits,
     /// Share of the limits common to all nodes that this owner may use, by the number of visible nodes.
-    share: f64,
-    /// Like `share`, but by the number of nodes that were recently in contact; applies to the accounts' quotas.
+    limit_share: f64,
+    /// Like `limit_share`, but by the number of nodes that were recently in contact; applies to the accounts' quotas.
     quota_share: f64,
     pools: HashMap<ServiceName, ServicePool>,
     quotas: Quotas,
@@ -140,7 +140,7 @@
     pub fn new(limits: SharedLimits) -> Self {
         Self {
             retry_limits: limits.retries(),
-            share: 1.0,
+            limit_share: 1.0,
             quota_share: 1.0,
             pools: HashMap::new(),
             quotas: Quotas::new(limits.quota),
@@ -164,12 +164,12 @@
             Event::SlotRequested(request) => self.handle_slot_request(now, request, &mut effects),
             Event::RequestWithdrawn(service, run) => self.handle_withdrawal(&service, run),
             Event::RunEnded(report) => self.handle_run_end(now, &report, &mut effects),
-            Event::RunAdopted(running) => {
+            Event::RunAdopted(active_run) => {
                 let pool = self
                     .pools
-                    .entry(running.request.service.clone())
+                    .entry(active_run.request.service.clone())
                     .or_default();
-                pool.adopt_run(now, running);
+                pool.adopt_run(now, active_run);
                 let until = now + OWNER_OVERLAP;
                 if self.overlap_ends_at.replace(until).is_none() {
                     self.apply_rate_limit_share(now);
@@ -188,7 +188,7 @@
                 self.place_all_waiting(now, &mut effects);
             }
             Event::VisibilityChanged(visibility) => {
-                self.share = partition_limit_share(visibility.visible, visibility.known);
+                self.limit_share = partition_limit_share(visibility.visible, visibility.known);
                 let slots = (!visibility.is_majority()).then(|| visibility.fraction());
                 for pool in self.pools.values_mut() {
                     pool.limit_slots(slots);
@@ -321,7 +321,7 @@
         let pool = self.pools.entry(request.service.clone()).or_default();
         if request.attempt == 0 {
             pool.retries.count_request(now, limits);
-        } else if !pool.retries.take_retry(now, limits, self.share) {
+        } else if !pool.retries.take_retry(now, limits, self.limit_share) {
             return Some(refuse(
                 RefusalReason::RetryBudgetSpent,
                 Duration::from_secs(1),
@@ -329,7 +329,7 @@
         }
         let account = request.account.as_ref()?;
         let units = f64::from(request.quota_units);
-        let share = self.share.min(self.quota_share);
+        let share = self.limit_share.min(self.quota_share);
         match self.quotas.take(now, account, units, share) {
             Ok(()) => None,
             Err(wait) => Some(refuse(RefusalReason::QuotaExceeded, wait)),
@@ -397,7 +397,7 @@
     /// Returns the share of the upstreams' rate limits that this owner may use.
     fn rate_limit_share(&self) -> f64 {
         let overlap = self.overlap_ends_at.map_or(1.0, |_| OVERLAP_RATE_SHARE);
-        self.share * overlap
+        self.limit_share * overlap
     }
 
     fn apply_rate_limit_share(&mut self, now: MonotonicTime) {
--- a/crates/dragonflystep_dispatch/src/limits.rs
+++ b/crates/dragonflystep_dispatch/src/limits.rs
@@ -34,8 +34,8 @@
 /// rest covers prediction errors.
 pub(crate) const MAX_PREDICTED_PAUSE_SHARE: f64 = 0.9;
 
-/// Consecutive failures after which an upstream is backed off. Where one answer in seven fails, two in a row are
-/// often chance.
+/// Consecutive failures after which an upstream is backed off. Where one answer in seven fails, two in a row can
+/// be chance.
 pub(crate) const FAILURES_BEFORE_BACK_OFF: u32 = 4;
 
 /// Share of a service's upstreams that may be backed off for failed answers at the same time. When all of them fail
@@ -58,8 +58,8 @@
 /// Share of a run's predicted duration that is added to its placement cost.
 ///
 /// In a burst all slots are taken while the engines still have spare computing power, so the scarce resource is the
-/// time for which a generation holds a slot, and engines differ in it by a factor of several. With a larger share,
-/// requests at engines with few slots are late.
+/// time for which a generation holds a slot, and engines differ severalfold in it. With a larger share, requests at
+/// engines with few slots are late.
 pub(crate) const RUN_COST_SHARE: f64 = 0.05;
 
 /// Placement cost of an upstream in another data centre, in milliseconds: the round trip, and a charge for the
@@ -100,8 +100,8 @@
 /// Share of the permitted retries that one owner grants; the rest covers a change of owner.
 pub(crate) const RETRY_BUDGET_USE: f64 = 0.7;
 
-/// Share of the limits common to all nodes that a partition without a majority may use, multiplied by its fraction
-/// of the nodes. Beside a majority, all such partitions together stay within an eighth of a quota, which the
+/// A network partition without a majority may use this share of the limits common to all nodes, multiplied by its
+/// fraction of the nodes. Beside a majority, all such partitions together stay within an eighth of a quota, which the
 /// quotas' tolerance covers.
 pub(crate) const MINORITY_LIMIT_SHARE: f64 = 0.25;
 
@@ -109,7 +109,7 @@
 /// with large quotas more than the tolerance.
 pub(crate) const QUOTA_TOLERANCE_USE: f64 = 0.4;
 
-/// Share of the quota tolerance with which an account begins at an owner that has no usage reports of the time before.
+/// Share of the quota tolerance with which an account begins at an owner that has no usage reports yet.
 /// Six such owners within a window use less than a third of the tolerance. Without this credit, the first request of
 /// an account after a start of all nodes would be refused.
 pub(crate) const UNREPORTED_START_SHARE: f64 = 0.05;
@@ -162,7 +162,8 @@
 /// round trips.
 pub(crate) const BACK_OFF_PROBE_TIME: Duration = Duration::from_millis(250);
 
-/// How long notices are kept after their upstream left the registry, or after they ceased to apply.
+/// How long the notices of an upstream are kept after the latest one, if the upstream has left the registry or none of
+/// them applies any more.
 pub(crate) const NOTICE_MEMORY: Duration = Duration::from_secs(60);
 
 /// Largest number of upstream notices in one message to another node; about 4 KB.
--- a/crates/dragonflystep_dispatch/src/notices.rs
+++ b/crates/dragonflystep_dispatch/src/notices.rs
@@ -40,9 +40,9 @@
     RateUnlimited,
     /// The upstream is about to leave and takes no new requests. This is never revoked.
     Leaving,
-    /// The upstream refused a request and asks that node to send none for a while.
+    /// The upstream refused a request of a node and asks this node to send no requests for a while.
     BackOff {
-        /// Incarnation of the node whose request it refused.
+        /// Incarnation of the node whose request was refused.
         node: NodeIncarnation,
         /// Length of the back-off, from the time of the statement.
         duration: Duration,
@@ -144,8 +144,8 @@
             .map_or(Duration::ZERO, |(_, until)| until)
     }
 
-    /// Drops notices that are older than [`NOTICE_MEMORY`] if their upstream is no longer listed or they no longer
-    /// apply.
+    /// Drops the notices of an upstream once the latest one is older than [`NOTICE_MEMORY`], if the upstream is no
+    /// longer listed or none of them applies any more.
     ///
     /// Recent notices are kept, since a registry entry may expire and return while its upstream keeps running.
     pub(crate) fn forget_old(
--- a/crates/dragonflystep_dispatch/src/placement.rs
+++ b/crates/dragonflystep_dispatch/src/placement.rs
@@ -43,7 +43,7 @@
 pub(crate) struct ServiceModel<'a> {
     pub(crate) averages: &'a RouteAverages,
     pub(crate) tokens_per_event: u32,
-    /// Whether costs are varied at random, so that requests spread over upstreams of similar cost.
+    /// Whether costs are varied pseudo-randomly, so that requests spread over upstreams of similar cost.
     pub(crate) spread_costs: bool,
 }
 
@@ -158,7 +158,7 @@
     f64::from(request.size.prompt_tokens.saturating_sub(cached))
 }
 
-/// Whether prefilling the prompt predictably makes a stream at the upstream pause longer than permitted.
+/// Whether prefilling the prompt is predicted to make a stream at the upstream pause longer than permitted.
 ///
 /// The strictest limit among the running streams applies, or the request's own limit if only plain calls run there.
 fn exceeds_pause_limit(
--- a/crates/dragonflystep_dispatch/src/pool/placing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/placing.rs
@@ -96,12 +96,12 @@
     pub(super) fn choose_for(
         &self,
         now: MonotonicTime,
-        waiting: &QueuedRequest,
+        queued: &QueuedRequest,
         free_upstreams: &FreeUpstreams,
     ) -> Choice {
-        let objective_left = waiting.objective_left(now);
-        if waiting.is_canary && !free_upstreams.canary.is_empty() {
-            let (request, canary) = (&waiting.request, &free_upstreams.canary);
+        let objective_left = queued.objective_left(now);
+        if queued.is_canary && !free_upstreams.canary.is_empty() {
+            let (request, canary) = (&queued.request, &free_upstreams.canary);
             let found = choose(
                 now,
                 request,
@@ -116,7 +116,7 @@
         }
         let found = choose(
             now,
-            &waiting.request,
+            &queued.request,
             objective_left,
             &self.upstreams,
             &free_upstreams.main,
@@ -128,7 +128,7 @@
         // A request that could still be on time does not take a slot where it would be late while a clearly faster
         // upstream may become free; other requests may take that slot.
         if prediction.is_on_time
-            || waiting.is_late(now)
+            || queued.is_late(now)
             || !self.has_faster_full_upstream(free_upstreams, index)
         {
             return Choice::Grant(index, prediction);
--- a/crates/dragonflystep_dispatch/src/pool/refusing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/refusing.rs
@@ -24,12 +24,12 @@
 
     /// Refuses requests that have waited as long as they may, and drops runs whose end was never reported.
     pub(crate) fn expire_waiting(&mut self, now: MonotonicTime, effects: &mut Vec<Effect>) {
-        for waiting in self.queue.take_expired(now) {
+        for queued in self.queue.take_expired(now) {
             self.refused
-                .record(now, &waiting.request, waiting.first_requested_at);
-            let wait = self.estimate_wait(now, waiting.request.tier, true, waiting.run_ms);
+                .record(now, &queued.request, queued.first_requested_at);
+            let wait = self.estimate_wait(now, queued.request.tier, true, queued.run_ms);
             effects.push(Effect {
-                run: waiting.request.run,
+                run: queued.request.run,
                 decision: SlotDecision::Refused(refuse(self.refusal_reason(), wait)),
             });
         }
@@ -55,11 +55,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let reason = self.refusal_reason();
-        if let Some(waiting) = self.queue.remove(run) {
+        if let Some(queued) = self.queue.remove(run) {
             self.refused
-                .record(now, &waiting.request, waiting.first_requested_at);
+                .record(now, &queued.request, queued.first_requested_at);
             effects.push(Effect {
-                run: waiting.request.run,
+                run: queued.request.run,
                 decision: SlotDecision::Refused(refuse(reason, wait)),
             });
         }
--- a/crates/dragonflystep_dispatch/src/quota.rs
+++ b/crates/dragonflystep_dispatch/src/quota.rs
@@ -118,7 +118,7 @@
         ))
     }
 
-    /// Returns the units of a request that did not run to the account's bucket.
+    /// Puts the units of a request that did not run back into the account's bucket.
     pub(crate) fn refund(&mut self, account: &AccountName, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(account) {
             bucket.units += units;
@@ -171,8 +171,8 @@
     share: f64,
     largest_units: f64,
 ) -> (f64, f64) {
-    // `take` asks for at most this many units, so a request larger than the burst is still possible when the bucket is
-    // full.
+    // A request larger than the bucket is still granted when the bucket is full, since `take` requires at most this
+    // many units.
     let burst = (quota.burst_units * share).max(1.0);
     if share <= MINORITY_LIMIT_SHARE {
         return (quota.units_per_s * share, burst);
--- a/crates/dragonflystep_dispatch/src/quota/handover.rs
+++ b/crates/dragonflystep_dispatch/src/quota/handover.rs
@@ -12,7 +12,7 @@
 /// The accounts' usage that entry nodes reported before their first request to this owner.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedUsage {
-    entries: HashMap<NodeName, KnownEntry>,
+    entry_nodes: HashMap<NodeName, EntryCoverage>,
     accounts: HashMap<AccountName, Vec<ReportedSlice>>,
     /// Lengths of the list of nodes within the last window, each with the time up to which it was valid.
     listed: Vec<(usize, MonotonicTime)>,
@@ -22,7 +22,7 @@
 
 /// What this owner knows about the usage through one entry node.
 #[derive(Clone, Copy, Debug)]
-struct KnownEntry {
+struct EntryCoverage {
     /// Time since which this owner knows all usage through the entry node, in seconds of this owner's clock; negative
     /// if that lies before the zero of the clock.
     since_s: f64,
@@ -70,7 +70,7 @@
         report: UsageReport,
     ) -> ReportEffect {
         let mut effect = ReportEffect::Added;
-        if let Some(known) = self.entries.get_mut(&report.node)
+        if let Some(known) = self.entry_nodes.get_mut(&report.node)
             && !known.is_outdated
         {
             if !granted_by_others(&report, now.saturating_sub(known.reported_at)) {
@@ -87,7 +87,7 @@
     /// Drops all reports, since another node was the owner in between; all entry nodes will report again.
     fn reset(&mut self, now: MonotonicTime) {
         self.accounts.clear();
-        for known in self.entries.values_mut() {
+        for known in self.entry_nodes.values_mut() {
             known.since_s = now.as_secs_f64();
             known.is_outdated = true;
         }
@@ -97,14 +97,15 @@
         self.version += 1;
         let now_s = now.as_secs_f64();
         let covered_s = report.covers.min(window).as_secs_f64();
-        let known = KnownEntry {
+        let known = EntryCoverage {
             since_s: now_s - covered_s,
             reported_at: now,
             is_outdated: false,
         };
-        // From that moment on, this owner has counted its own grants to the entry node itself.
+        // This owner has already counted its own grants to the entry node after this time, which is the start of the
+        // time that the previous report covered.
         let counted_since_s = self
-            .entries
+            .entry_nodes
             .insert(report.node, known)
             .map_or(f64::INFINITY, |previous| previous.since_s);
         for usage in report.accounts {
@@ -139,8 +140,8 @@
         let (at_s, window_s) = (at.as_secs_f64(), window.as_secs_f64());
         let slices = self.accounts.get(account).map_or(&[][..], Vec::as_slice);
         let ages_s = slices.iter().map(|slice| (at_s - slice.at_s).max(0.0));
-        let coverage_starts_s = self.entries.values().map(|known| at_s - known.since_s);
-        let mut checked_ages_s: Vec<f64> = ages_s.chain(coverage_starts_s).collect();
+        let coverage_ages_s = self.entry_nodes.values().map(|known| at_s - known.since_s);
+        let mut checked_ages_s: Vec<f64> = ages_s.chain(coverage_ages_s).collect();
         checked_ages_s.extend([0.0, window_s]);
         checked_ages_s.retain(|age_s| (0.0..=window_s).contains(age_s));
         let nodes = self.node_count() as f64;
@@ -150,7 +151,7 @@
                 .filter(|slice| at_s - slice.at_s <= age_s)
                 .map(|slice| slice.units)
                 .sum();
-            let covering = self.entries.values().filter(|known| {
+            let covering = self.entry_nodes.values().filter(|known| {
                 let covered_s = at_s - known.since_s;
                 covered_s > age_s || covered_s >= window_s
             });
@@ -165,7 +166,7 @@
     /// Returns the share of the nodes whose usage in the window before `at` is not completely known.
     pub(crate) fn unknown_share(&self, at: MonotonicTime, window: Duration) -> f64 {
         let known = self
-            .entries
+            .entry_nodes
             .values()
             .filter(|known| at.as_secs_f64() - known.since_s >= window.as_secs_f64());
         1.0 - known.count() as f64 / self.node_count() as f64
@@ -173,7 +174,7 @@
 
     fn node_count(&self) -> usize {
         let listed = self.listed.iter().map(|(nodes, _)| *nodes).max();
-        listed.unwrap_or(0).max(self.entries.len()).max(1)
+        listed.unwrap_or(0).max(self.entry_nodes.len()).max(1)
     }
 }
 
--- a/crates/dragonflystep_dispatch/src/refusal.rs
+++ b/crates/dragonflystep_dispatch/src/refusal.rs
@@ -2,7 +2,7 @@
 //!
 //! It is designed for work that arrives at up to twice the rate at which the upstreams finish it. A request that would
 //! wait longer than its caller can is refused at once, so that no caller waits in vain. The refusal contains the time
-//! after which the queue is predicted to be short enough, so that no caller is refused again when it comes back.
+//! after which the queue is predicted to be short enough for the request to be served when its caller comes back.
 
 use {
     crate::{
@@ -16,21 +16,21 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Rate at which work of each tier arrives, as the number of slots that it keeps busy.
+/// ArrivalRate at which work of each tier arrives, as the number of slots that it keeps busy.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRates {
-    tiers: BTreeMap<Tier, Rate>,
+    tiers: BTreeMap<Tier, ArrivalRate>,
 }
 
 #[derive(Debug)]
-struct Rate {
+struct ArrivalRate {
     /// Exponentially decaying sum of the arrived work, in milliseconds of one slot.
     work_ms: f64,
     /// Time up to which `work_ms` has decayed.
     at: MonotonicTime,
 }
 
-impl Rate {
+impl ArrivalRate {
     fn decay(&mut self, now: MonotonicTime) {
         let passed_s = now.saturating_sub(self.at).as_secs_f64();
         self.work_ms *= (-passed_s / ARRIVAL_WINDOW_S).exp();
@@ -41,7 +41,7 @@
 impl ArrivalRates {
     /// Adds a request's work to the rate of its tier.
     pub(crate) fn record_arrival(&mut self, now: MonotonicTime, tier: Tier, work_ms: f64) {
-        let rate = self.tiers.entry(tier).or_insert(Rate {
+        let rate = self.tiers.entry(tier).or_insert(ArrivalRate {
             work_ms: 0.0,
             at: now,
         });
--- a/crates/dragonflystep_dispatch/src/requested_back_off.rs
+++ b/crates/dragonflystep_dispatch/src/requested_back_off.rs
@@ -1,9 +1,9 @@
 //! The back-off that an upstream requests when it refuses requests.
 //!
-//! An upstream in trouble may refuse all requests of all nodes for seconds. Each such refusal reaches a caller whose
-//! request cannot be sent elsewhere. So all nodes stop sending to the upstream as soon as it has refused one of them.
-//! After the back-off, a single request shows whether it accepts requests again. If no other upstream is left, nodes
-//! that it has not refused may probe it during the back-off, until it has refused a second node.
+//! An upstream in trouble may refuse all requests of all nodes for seconds. If a refused request may not be sent to
+//! another upstream, its caller gets the refusal. So all nodes stop sending to the upstream as soon as it has refused
+//! one of them. After the back-off, a single request shows whether it accepts requests again. If no other upstream is
+//! left, nodes that it has not refused may probe it during the back-off, until it has refused a second node.
 
 use {
     crate::{
@@ -18,7 +18,7 @@
 pub(crate) struct RequestedBackOff {
     /// The nodes that it refused, with the end of the back-off that it requested from each.
     nodes: Vec<(NodeIncarnation, MonotonicTime)>,
-    /// End of the longest back-off; until then no node sends requests.
+    /// End of the longest back-off. Until then nodes send no requests, except those that probe the upstream early.
     until: MonotonicTime,
     /// Whether the upstream has not yet shown, since its last back-off, that it accepts requests again.
     awaits_acceptance: bool,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the time until which no node sends requests.
+    /// Returns the end of the longest back-off that the upstream requested.
     pub(crate) fn until(&self) -> MonotonicTime {
         self.until
     }
--- a/crates/dragonflystep_dispatch/src/retry_budget.rs
+++ b/crates/dragonflystep_dispatch/src/retry_budget.rs
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Returns the counters of the current_second second, and drops those that left the window.
+    /// Returns the counters of the current second, and drops those that left the window.
     fn current_second(&mut self, now: MonotonicTime, limits: RetryLimits) -> &mut Second {
         let at_s = now.as_secs();
         self.seconds
--- a/crates/dragonflystep_dispatch/src/rollout/evidence.rs
+++ b/crates/dragonflystep_dispatch/src/rollout/evidence.rs
@@ -4,7 +4,7 @@
 //! Failures and slow outliers are compared by a sequential test: a mixture of likelihood ratios against the old
 //! version's own rate. It may be evaluated after each answer, since Ville's inequality bounds the probability of a
 //! false alarm over all evaluations (see Robbins, 1970). Durations are compared by the means of upstreams, since
-//! upstreams of one version differ in speed by a factor of several.
+//! upstreams of one version differ severalfold in speed.
 
 use {
     crate::{
@@ -93,7 +93,7 @@
 
 /// Number of events (failures or slow answers) and of the trials among which they happened.
 #[derive(Clone, Copy, Debug)]
-struct Rate {
+struct EventRate {
     events: f64,
     trials: f64,
 }
@@ -237,19 +237,19 @@
     }
 
     /// Returns the rate of events over all upstreams.
-    fn rate(&self, counts_of: impl Fn(&UpstreamSamples) -> (f64, f64)) -> Rate {
+    fn rate(&self, counts_of: impl Fn(&UpstreamSamples) -> (f64, f64)) -> EventRate {
         let counts = self.upstreams.values().map(counts_of);
         let (events, trials) = counts.fold((0.0, 0.0), |total, counts| {
             (total.0 + counts.0, total.1 + counts.1)
         });
-        Rate { events, trials }
+        EventRate { events, trials }
     }
 
     /// Returns the rate of events over all upstreams, without the excess of a single outlier.
     ///
     /// An upstream with a far higher rate than all others counts with the second highest rate, since one faulty
     /// upstream says nothing about its version. This applies only if other upstreams were tried too.
-    fn robust_rate(&self, counts_of: impl Fn(&UpstreamSamples) -> (f64, f64)) -> Rate {
+    fn robust_rate(&self, counts_of: impl Fn(&UpstreamSamples) -> (f64, f64)) -> EventRate {
         let mut rate = self.rate(&counts_of);
         let mut counts: Vec<(f64, f64)> = self.upstreams.values().map(counts_of).collect();
         counts.retain(|(_, trials)| *trials > 0.0);
@@ -353,7 +353,7 @@
     let known = pairs
         .iter()
         .map(|(old, new)| (old.rate(counts_of), new.robust_rate(counts_of)));
-    let known: Vec<(Rate, Rate)> = known
+    let known: Vec<(EventRate, EventRate)> = known
         .filter(|(old, _)| old.trials >= ROLLOUT_MIN_ANSWERS)
         .collect();
     let events: f64 = known.iter().map(|(_, new)| new.events).sum();
@@ -374,7 +374,7 @@
 
 /// Returns the logarithm of the likelihood ratio of the new version's events: how much more likely they are at a rate
 /// that exceeds the old version's by `excess` than at the old version's own rate.
-fn log_likelihood_ratio(old: Rate, new: Rate, excess: f64) -> f64 {
+fn log_likelihood_ratio(old: EventRate, new: EventRate, excess: f64) -> f64 {
     // Uses an upper bound of the old version's rate, since few answers determine it only roughly.
     let base = (old.events + 1.5 * (old.events + 1.0).sqrt()) / (old.trials + 2.0);
     let base = base.clamp(1e-4, 0.95);
@@ -418,7 +418,7 @@
     pairs: &[(&Samples, &Samples)],
     counts_of: impl Fn(&UpstreamSamples) -> (f64, f64) + Copy,
 ) -> String {
-    let sum = |rates: &mut dyn Iterator<Item = Rate>| {
+    let sum = |rates: &mut dyn Iterator<Item = EventRate>| {
         rates.fold((0.0, 0.0), |total, rate| {
             (total.0 + rate.events, total.1 + rate.trials)
         })
--- a/crates/dragonflystep_dispatch/src/speed.rs
+++ b/crates/dragonflystep_dispatch/src/speed.rs
@@ -1,6 +1,6 @@
 //! Learns the speeds of upstreams and the durations of routes, from which run times are predicted.
 //!
-//! Upstreams of one service differ in speed by a factor of several, and no source states by how much. So each finished
+//! Upstreams of one service differ severalfold in speed, and nothing states by how much. So each finished
 //! run contributes a prefill time per token and a time per event to the weighted means of its upstream. For an upstream
 //! without finished runs, the service's mean speed is assumed.
 
@@ -16,8 +16,8 @@
     std::collections::HashMap,
 };
 
-/// Lower bound of divisors, in milliseconds; prevents division by zero.
-const SMALLEST_MS: f64 = 1e-4;
+/// Lower bound of divisors; prevents division by zero.
+const MIN_DIVISOR: f64 = 1e-4;
 
 /// Prefill and decode speed of an upstream, and its speed on plain calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,9 +72,9 @@
     pub(crate) fn mean<'a>(speeds: impl Iterator<Item = &'a Self>) -> Self {
         let (mut rates, mut count) = ((0.0, 0.0, 0.0), 0.0);
         for speed in speeds {
-            rates.0 += 1.0 / speed.prefill_ms_per_token.max(SMALLEST_MS);
-            rates.1 += 1.0 / speed.ms_per_event.max(SMALLEST_MS);
-            rates.2 += 1.0 / speed.plain_ratio.max(SMALLEST_MS);
+            rates.0 += 1.0 / speed.prefill_ms_per_token.max(MIN_DIVISOR);
+            rates.1 += 1.0 / speed.ms_per_event.max(MIN_DIVISOR);
+            rates.2 += 1.0 / speed.plain_ratio.max(MIN_DIVISOR);
             count += 1.0;
         }
         if count == 0.0 {
