--- a/crates/dragonflystep_dispatch/src/refusal.rs
+++ b/crates/dragonflystep_dispatch/src/refusal.rs
@@ -16,7 +16,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// ArrivalRate at which work of each tier arrives, as the number of slots that it keeps busy.
+/// Rate at which work of each tier arrives, as the number of slots that it keeps busy.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRates {
     tiers: BTreeMap<Tier, ArrivalRate>,
