--- a/crates/dragonflystep_edge/src/catalogue_list.rs
+++ b/crates/dragonflystep_edge/src/catalogue_list.rs
@@ -1,6 +1,7 @@
-//! The catalogue as a list of entries, so that nodes pass on what changed and not the whole document.
+//! The catalogue as a list of entries, so that nodes send one another only what changed instead of the whole
+//! document.
 //!
-//! The load it answers: a catalogue of thousands of routes that changes several times within seconds, on machines
+//! It is designed for a catalogue of thousands of routes that changes several times within seconds, on machines
 //! with an eighth of a core and 10 Mbit/s. Each node fetches a change once, from one other node.
 
 use {
@@ -10,7 +11,7 @@
     std::sync::Arc,
 };
 
-/// One entry of a catalogue.
+/// An entry of the catalogue, under a key that names its kind and what identifies it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct CatalogueEntry {
     key: Arc<str>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The entries of a catalogue.
+/// Splits a catalogue into its entries.
 pub(crate) fn entries_of(catalogue: Catalogue) -> Vec<CatalogueEntry> {
     let routes = catalogue.routes.into_iter().map(CatalogueItem::Route);
     let services = catalogue.services.into_iter().map(CatalogueItem::Service);
@@ -56,7 +57,7 @@
     items.map(CatalogueItem::into_entry).collect()
 }
 
-/// The catalogue of a version that `entries` make up.
+/// Builds the catalogue of a version from its entries.
 pub(crate) fn catalogue_of<'a>(
     version: u64,
     entries: impl Iterator<Item = &'a CatalogueEntry>,
--- a/crates/dragonflystep_edge/src/exchange.rs
+++ b/crates/dragonflystep_edge/src/exchange.rs
@@ -1,10 +1,10 @@
-//! Exchanges views with other nodes, which also shows who is there.
+//! Gossip exchanges with other nodes, which also serve as the failure detector.
 
 use {
     crate::{
         limits::{
-            EXCHANGE_INTERVAL, EXCHANGE_TIMEOUT, MOST_FAILED_RETRIED, PAUSE_NOTICED,
-            PLATFORM_UNHEARD, REACH_LOOK, SMALL_SYSTEM_NODES,
+            EXCHANGE_INTERVAL, EXCHANGE_TIMEOUT, MAX_FAILED_RETRIED, MAX_PLATFORM_SILENCE,
+            MIN_DETECTED_PAUSE, SMALL_SYSTEM_NODES, VISIBILITY_CHECK_INTERVAL,
         },
         list_fetch::fetch_if_newer,
         node::Node,
@@ -16,7 +16,7 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Exchanges views with this node's neighbours for as long as the node runs.
+/// Exchanges digests with this node's partners at intervals, for as long as the node runs.
 pub(crate) async fn exchange_views(node: Rc<Node>) {
     discover_peers(&node).await;
     loop {
@@ -26,59 +26,62 @@
             EXCHANGE_INTERVAL
         };
         sleep(node.jittered(interval, 0.8..1.2)).await;
-        for neighbour in partners(&node) {
-            spawn_local(exchange_with(node.clone(), neighbour));
+        for partner in exchange_partners(&node) {
+            spawn_local(exchange_with(node.clone(), partner));
         }
     }
 }
 
-/// Looks again and again at how much of the system this node sees, for as long as it runs.
-pub(crate) async fn watch_reach(node: Rc<Node>) {
+/// Updates at intervals how many nodes are visible, and detects pauses of this process, for as long as the node
+/// runs.
+pub(crate) async fn watch_visibility(node: Rc<Node>) {
     loop {
-        let looked_at = node.owner.now();
-        sleep(REACH_LOOK).await;
+        let checked_at = node.owner.now();
+        sleep(VISIBILITY_CHECK_INTERVAL).await;
         let now = node.owner.now();
-        if now.saturating_sub(looked_at) > REACH_LOOK + PAUSE_NOTICED {
-            log::warn!(paused_ms = (now - looked_at).as_millis() as u64; "this node did not run for a while");
+        if now.saturating_sub(checked_at) > VISIBILITY_CHECK_INTERVAL + MIN_DETECTED_PAUSE {
+            log::warn!(paused_ms = (now - checked_at).as_millis() as u64; "this node did not run for a while");
             node.metrics.count("pauses_total", "process");
-            node.members.resumed(now);
+            node.members.record_pause(now);
         }
-        node.update_reach();
+        node.update_visibility();
     }
 }
 
-/// Tries the neighbours as soon as the first list of nodes is known, so that the node soon knows what it sees.
+/// Tries all partners as soon as the first list of nodes is known, so that the node soon knows which ones are
+/// visible.
 async fn discover_peers(node: &Rc<Node>) {
     tokio::select! {
-        () = node.members.first_listed() => {}
+        () = node.members.wait_for_list() => {}
         () = sleep(EXCHANGE_INTERVAL) => return,
     }
-    let exchanges = partners(node)
+    let exchanges = exchange_partners(node)
         .into_iter()
         .map(|partner| exchange_with(node.clone(), partner));
     let mut exchanges: FuturesUnordered<_> = exchanges.collect();
     while exchanges.next().await.is_some() {
         if node.members.has_discovered_peers() {
-            node.update_reach();
+            node.update_visibility();
         }
     }
 }
 
-/// Tells all neighbours at once, for example that this node is stopping.
-pub(crate) fn tell_neighbours(node: &Rc<Node>) {
-    for neighbour in partners(node) {
-        spawn_local(exchange_with(node.clone(), neighbour));
+/// Exchanges digests with all partners at once, for example to announce that this node is stopping.
+pub(crate) fn notify_partners(node: &Rc<Node>) {
+    for partner in exchange_partners(node) {
+        spawn_local(exchange_with(node.clone(), partner));
     }
 }
 
-/// Neighbours, and in a large system the owners, who pass on who is unavailable.
-fn partners(node: &Rc<Node>) -> Vec<NodeName> {
+/// The nodes to exchange digests with: the neighbours, and in a large system also the owners, which pass on
+/// suspicions, and a few failed nodes.
+fn exchange_partners(node: &Rc<Node>) -> Vec<NodeName> {
     let mut partners = node.members.direct_partners();
     if node.members.listed_count() > SMALL_SYSTEM_NODES {
         partners.extend(node.ranked_owners(1));
-        // Who failed once and is no neighbour would otherwise count as gone for good.
+        // A node that failed once and is no neighbour would otherwise never be tried again.
         let failed = node.members.failed_nodes().into_iter();
-        partners.extend(failed.take(MOST_FAILED_RETRIED));
+        partners.extend(failed.take(MAX_FAILED_RETRIED));
     }
     partners.retain(|partner| *partner != node.settings.node);
     partners.sort();
@@ -86,47 +89,47 @@
     partners
 }
 
-/// Sends what the other node is missing; it may have no other way to learn it.
-async fn tell_more(node: &Rc<Node>, peer: &NodeName, link: &PeerLink, theirs: &Digest) {
-    let digest = node.digest_to_tell(theirs);
+/// Pushes to another node what it lacks, since it may have no other way to learn it.
+async fn push_missing(node: &Rc<Node>, peer: &NodeName, link: &PeerLink, theirs: &Digest) {
+    let digest = node.push_digest(theirs);
     if let Err(error) = link.exchange(&digest, EXCHANGE_TIMEOUT).await {
-        log::info!(peer:%, error:%; "a node was not told what it lacks");
+        log::info!(peer:%, error:%; "newer lists could not be pushed to a node");
     }
 }
 
-/// Exchanges views with a node, and notes whether it answers.
+/// Exchanges digests with a node and records whether it answers.
 pub(crate) async fn exchange_with(node: Rc<Node>, peer: NodeName) {
     let Some(link) = node.members.link(&peer) else {
         return;
     };
     let mut digest = node.empty_digest();
     digest.unavailable = node.members.own_unavailable();
-    // If this arrives, the other node can be called.
+    // If the other node receives this digest, it can be reached, whatever came of earlier calls.
     digest.unavailable.retain(|other| *other != peer);
     let asked_at = node.owner.now();
     match link.exchange(&digest, EXCHANGE_TIMEOUT).await {
         Ok(mut theirs) => {
             let now = node.owner.now();
-            let is_owner = node.is_owner_for_all(&peer);
-            if node.members.answered(now, &peer, theirs.is_leaving) {
+            let is_owner = node.is_first_or_current_owner(&peer);
+            if node.members.record_answer(now, &peer, theirs.is_leaving) {
                 node.metrics.count("cuts_ended_total", "first_owner");
             }
-            // Counted from the call on: what is on the way does not grow younger from node to node.
-            node.note_platform_heard(asked_at.saturating_sub(theirs.platform_silence));
-            if theirs.platform_silence <= PLATFORM_UNHEARD {
-                node.note_platform_up(asked_at.saturating_sub(theirs.platform_up_for));
+            // Ages count from the time of the call, so that the transit time is added at each hop.
+            node.record_platform_answer(asked_at.saturating_sub(theirs.platform_silence));
+            if theirs.platform_silence <= MAX_PLATFORM_SILENCE {
+                node.record_platform_uptime(asked_at.saturating_sub(theirs.platform_up_for));
             }
-            node.note_exchange();
-            node.answered_by(&theirs, is_owner);
-            // The age of what it knows is counted from the call on as well.
+            node.note_peer_answered();
+            node.handle_exchange_answer(&theirs, is_owner);
+            // The ages of the notices count from the time of the call as well.
             let mut notices = std::mem::take(&mut theirs.notices);
             for notice in &mut notices {
                 notice.age += now.saturating_sub(asked_at);
             }
             node.learn_notices(notices, &peer);
             fetch_if_newer(&node, &theirs);
-            if node.knows_more_than(&theirs) {
-                tell_more(&node, &peer, &link, &theirs).await;
+            if node.has_newer_lists_than(&theirs) {
+                push_missing(&node, &peer, &link, &theirs).await;
             }
         }
         Err(error) => {
--- a/crates/dragonflystep_edge/src/lib.rs
+++ b/crates/dragonflystep_edge/src/lib.rs
@@ -1,9 +1,9 @@
-//! An edge node: takes requests from callers, gets places at upstreams from the owner of each service,
-//! and relays the answers.
+//! An edge node: accepts requests from callers, obtains a slot at an upstream for each of them from the node that
+//! owns the services, and relays the answers.
 //!
-//! Every node is the same process. [`run_node`] puts its parts together: the [`Node`] with its views, the
-//! listeners for callers, directory and readiness, the links to other nodes, and the platform behind
-//! [`Platform`]. What a platform calls things is known to its [`Dialect`] alone.
+//! All nodes run the same program. [`run_node`] starts its parts: the [`Node`] with its state, the listeners for
+//! callers, the directory and readiness checks, the connections to other nodes, and the platform behind the
+//! [`Platform`] trait. Names that are specific to a platform are known only to its [`Dialect`].
 
 mod answer;
 mod answers_of_own;
--- a/crates/dragonflystep_edge/src/list_fetch.rs
+++ b/crates/dragonflystep_edge/src/list_fetch.rs
@@ -1,8 +1,8 @@
-//! Fetching what is new of a list from one other node, piece by piece.
+//! Fetches the changes of a list from another node, piece by piece, and serves the fetches of other nodes.
 
 use {
     crate::{
-        limits::{LIST_ANSWERS_KEPT, LIST_PIECE_BYTES, LIST_PIECE_TIMEOUT, LIST_PIECE_TRIES},
+        limits::{LIST_PIECE_BYTES, LIST_PIECE_TIMEOUT, MAX_CACHED_CHANGES, MAX_LIST_PIECE_TRIES},
         node::Node,
         versioned_list::{Changes, ChangesError, ListEntry, VersionedList},
     },
@@ -16,19 +16,19 @@
     tokio::task::spawn_local,
 };
 
-/// The lists that nodes fetch.
+/// The lists that nodes fetch from one another.
 const LISTS: [ListName; 3] = [ListName::Catalogue, ListName::Registry, ListName::Members];
 
-/// What is under way of each list.
+/// The state of the fetches of all lists.
 #[derive(Default)]
 pub(crate) struct ListFetches {
-    pub(crate) catalogue: Fetches,
-    registry: Fetches,
-    members: Fetches,
+    pub(crate) catalogue: ListFetch,
+    registry: ListFetch,
+    members: ListFetch,
 }
 
 impl ListFetches {
-    fn of(&self, list: ListName) -> &Fetches {
+    fn of(&self, list: ListName) -> &ListFetch {
         match list {
             ListName::Catalogue => &self.catalogue,
             ListName::Registry => &self.registry,
@@ -37,117 +37,127 @@
     }
 }
 
-/// What is under way of one list, and what was made ready for others.
+/// The state of the fetches of one list, and the encoded changes that are cached for other nodes.
 #[derive(Default)]
-pub(crate) struct Fetches {
-    is_under_way: Cell<bool>,
-    /// What came of a fetch that broke off; the next one from the same node goes on there.
-    partial: RefCell<Option<Partial>>,
-    /// The last answers to other nodes; many ask for the same.
-    answers: RefCell<VecDeque<Answer>>,
+pub(crate) struct ListFetch {
+    is_running: Cell<bool>,
+    /// The pieces received by a fetch that broke off. The next fetch from the same node continues there.
+    partial: RefCell<Option<PartialFetch>>,
+    /// The changes last prepared for other nodes, newest first; many nodes ask for the same ones.
+    prepared_changes: RefCell<VecDeque<PreparedChanges>>,
     /// The newest version that another node announced.
-    heard_version: Cell<u64>,
-    /// Since when nothing came of a newer version that another node announced.
-    waits_since: Cell<Option<MonotonicTime>>,
+    newest_announced: Cell<u64>,
+    /// Since when no progress has been made towards a newer version that another node announced; `None` if there is
+    /// none.
+    no_progress_since: Cell<Option<MonotonicTime>>,
 }
 
-/// Changes made ready for other nodes.
-struct Answer {
+/// Encoded changes of a list from one version to another.
+struct PreparedChanges {
     base_version: u64,
     target_version: u64,
     bytes: Vec<u8>,
 }
 
-/// Pieces that came so far.
+/// The pieces of a fetch that have been received so far.
 #[derive(Default)]
-struct Partial {
+struct PartialFetch {
     source: NodeName,
     base_version: u64,
     target_version: u64,
     bytes: Vec<u8>,
 }
 
-impl Fetches {
-    /// Notes which version another node has.
-    fn note_heard(&self, now: MonotonicTime, version: u64) {
-        if version > self.heard_version.get() {
-            self.heard_version.set(version);
+impl ListFetch {
+    /// Records that another node announced a newer version.
+    fn note_announced(&self, now: MonotonicTime, version: u64) {
+        if version > self.newest_announced.get() {
+            self.newest_announced.set(version);
         }
-        if self.waits_since.get().is_none() {
-            self.waits_since.set(Some(now));
+        if self.no_progress_since.get().is_none() {
+            self.no_progress_since.set(Some(now));
         }
     }
 
-    /// Notes that something of a newer version came.
+    /// Records that a piece of a newer version was received.
     fn note_progress(&self, now: MonotonicTime) {
-        self.waits_since.set(Some(now));
+        self.no_progress_since.set(Some(now));
     }
 
-    /// Notes which version is in force.
+    /// Records which version is in force; the fetch is done if no newer one was announced.
     pub(crate) fn note_in_force(&self, version: u64) {
-        if version >= self.heard_version.get() {
-            self.waits_since.set(None);
+        if version >= self.newest_announced.get() {
+            self.no_progress_since.set(None);
         }
     }
 
-    /// How long nothing has come of a newer version that another node announced.
-    pub(crate) fn waits_for(&self, now: MonotonicTime) -> MonotonicTime {
-        let since = self.waits_since.get();
+    /// Time without progress towards a newer version that another node announced; 0 if there is none.
+    pub(crate) fn time_without_progress(&self, now: MonotonicTime) -> MonotonicTime {
+        let since = self.no_progress_since.get();
         since.map_or(MonotonicTime::ZERO, |since| now.saturating_sub(since))
     }
 }
 
 impl Node {
-    /// A piece of what a node is missing that has a version of a list.
+    /// Returns the requested piece of the changes since the requester's version of a list; an empty one if there
+    /// are none.
     pub(crate) fn list_piece(&self, request: ListPieceRequest) -> ListPiece {
-        let mut answers = self.list_fetches.of(request.list).answers.borrow_mut();
-        let is_kept = |answer: &Answer, target_version: u64| {
-            (answer.base_version, answer.target_version) == (request.version, target_version)
+        let mut prepared_changes = self
+            .list_fetches
+            .of(request.list)
+            .prepared_changes
+            .borrow_mut();
+        let is_match = |prepared: &PreparedChanges, target_version: u64| {
+            (prepared.base_version, prepared.target_version) == (request.version, target_version)
         };
-        // A fetch that began before the last change goes on with what it began with.
-        let begun = answers
+        // A fetch that began before the last change continues with the changes with which it began.
+        let begun = prepared_changes
             .iter()
-            .position(|answer| is_kept(answer, request.target_version));
+            .position(|prepared| is_match(prepared, request.target_version));
         let newest = self.with_list(request.list, |known| known.version());
-        let kept = begun.or_else(|| answers.iter().position(|answer| is_kept(answer, newest)));
-        if let Some(index) = kept {
-            return answers[index].piece(request);
+        let cached = begun.or_else(|| {
+            prepared_changes
+                .iter()
+                .position(|prepared| is_match(prepared, newest))
+        });
+        if let Some(index) = cached {
+            return prepared_changes[index].piece(request);
         }
-        let Some(answer) = self.new_answer(request.list, request.version) else {
+        let Some(prepared) = self.prepare_changes(request.list, request.version) else {
             return ListPiece::default();
         };
-        let piece = answer.piece(request);
-        answers.truncate(LIST_ANSWERS_KEPT - 1);
-        answers.push_front(answer);
+        let piece = prepared.piece(request);
+        prepared_changes.truncate(MAX_CACHED_CHANGES - 1);
+        prepared_changes.push_front(prepared);
         piece
     }
 
-    fn new_answer(&self, list: ListName, base_version: u64) -> Option<Answer> {
+    fn prepare_changes(&self, list: ListName, base_version: u64) -> Option<PreparedChanges> {
         let (encoded, target_version) = self.with_list(list, |known| {
             (known.encoded_since(base_version), known.version())
         });
         match encoded? {
-            Ok(bytes) => Some(Answer {
+            Ok(bytes) => Some(PreparedChanges {
                 base_version,
                 target_version,
                 bytes,
             }),
             Err(error) => {
-                log::error!(list = list_label(list), version = target_version, error:%; "a list can't be written for another node");
+                log::error!(list = list_label(list), version = target_version, error:%; "changes of a list can't be encoded for another node");
                 None
             }
         }
     }
 
-    fn with_list<R>(&self, list: ListName, look: impl FnOnce(&dyn FetchedList) -> R) -> R {
+    fn with_list<R>(&self, list: ListName, read: impl FnOnce(&dyn FetchedList) -> R) -> R {
         match list {
-            ListName::Catalogue => look(&*self.views.catalogue_list()),
-            ListName::Registry => look(&*self.views.registry_list()),
-            ListName::Members => look(&*self.members.list()),
+            ListName::Catalogue => read(&*self.views.catalogue_list()),
+            ListName::Registry => read(&*self.views.registry_list()),
+            ListName::Members => read(&*self.members.list()),
         }
     }
 
-    fn learn_fetched(
+    fn apply_fetched(
         &self,
         list: ListName,
         bytes: &[u8],
@@ -162,17 +172,18 @@
     }
 }
 
-/// A list of any entries, as far as a fetch is concerned.
+/// A list with entries of any type, with the operations that a fetch needs.
 trait FetchedList {
     fn version(&self) -> u64;
 
-    /// The version to tell other nodes.
+    /// The version to announce to other nodes.
     fn announced_version(&self) -> u64;
 
-    /// Whether a list of `their_version` holds something new.
+    /// Whether a list of `their_version` is to replace this one.
     fn is_stale_against(&self, their_version: u64) -> bool;
 
-    /// What a node is missing that has a version; none if it is up to date, or this list is not whole itself.
+    /// Encodes what a node with the given version lacks; `None` if it is up to date or this list is not known to be
+    /// complete.
     fn encoded_since(&self, version: u64) -> Option<Result<Vec<u8>, ChangesError>>;
 }
 
@@ -190,7 +201,7 @@
     }
 
     fn encoded_since(&self, version: u64) -> Option<Result<Vec<u8>, ChangesError>> {
-        let changes = self.is_whole().then(|| self.changes_since(version))?;
+        let changes = self.is_complete().then(|| self.changes_since(version))?;
         changes.map(|changes| changes.encode())
     }
 }
@@ -203,11 +214,11 @@
     }
 }
 
-impl Answer {
-    /// The piece that is asked for; the first one when the asking node began with another answer.
+impl PreparedChanges {
+    /// Returns the requested piece, or the first one if the requester began with changes to another version.
     fn piece(&self, request: ListPieceRequest) -> ListPiece {
-        let is_begun = request.target_version == self.target_version;
-        let from = if is_begun {
+        let is_continued = request.target_version == self.target_version;
+        let from = if is_continued {
             request.offset_bytes as usize
         } else {
             0
@@ -216,39 +227,40 @@
         let to = (from + LIST_PIECE_BYTES).min(self.bytes.len());
         ListPiece {
             target_version: self.target_version,
-            // An answer is far below 4 GB; one that is not can't be asked for further than that.
+            // Encoded changes are far below 4 GB. Of a larger size, the rest could not be requested.
             total_bytes: u32::try_from(self.bytes.len()).unwrap_or(u32::MAX),
             bytes: self.bytes[from..to].to_vec(),
         }
     }
 }
 
-/// Fetches each list from the node that sent `theirs` if it has a newer one, unless a fetch of that list is under way.
+/// Fetches each list from the node that sent `theirs` if that node has a newer one and no fetch of the list is
+/// running.
 ///
-/// Passed on with each exchange of views, a large list would come to a node from all its partners at once and fill its link;
-/// exchanges behind it would be late, and owners called gone. Fetched whole within a fixed time, it would never come where
-/// requests leave little of a link.
+/// Sent with each gossip exchange, a large list would reach a node from all its partners at once and fill its link.
+/// The exchanges queued behind it would time out, and owners would be taken for failed. With a fixed timeout for
+/// the whole list, it would never arrive where requests leave little of a link.
 pub(crate) fn fetch_if_newer(node: &Rc<Node>, theirs: &Digest) {
     for list in LISTS {
         let version = version_of(theirs, list);
         if !node.with_list(list, |known| known.is_stale_against(version)) {
             continue;
         }
-        let fetches = node.list_fetches.of(list);
-        fetches.note_heard(node.owner.now(), version);
-        if fetches.is_under_way.get() {
+        let list_fetch = node.list_fetches.of(list);
+        list_fetch.note_announced(node.owner.now(), version);
+        if list_fetch.is_running.get() {
             continue;
         }
         let Some(link) = node.members.transfer_link(&theirs.node) else {
             return;
         };
-        fetches.is_under_way.set(true);
+        list_fetch.is_running.set(true);
         let (node, source) = (node.clone(), theirs.node.clone());
         spawn_local(async move {
             if let Err(error) = fetch(&node, &link, list, &source).await {
                 log::info!(peer:% = source, list = list_label(list), error:%; "a list was not fetched");
             }
-            node.list_fetches.of(list).is_under_way.set(false);
+            node.list_fetches.of(list).is_running.set(false);
         });
     }
 }
@@ -259,21 +271,21 @@
     list: ListName,
     source: &NodeName,
 ) -> Result<(), PeerError> {
-    let fetches = node.list_fetches.of(list);
+    let list_fetch = node.list_fetches.of(list);
     let began_at = node.owner.now();
     let base_version = node.with_list(list, |known| known.announced_version());
-    let begun = fetches.partial.take();
+    let begun = list_fetch.partial.take();
     let begun = begun.filter(|begun| begun.source == *source && begun.base_version == base_version);
-    let mut partial = begun.unwrap_or_else(|| Partial {
+    let mut partial = begun.unwrap_or_else(|| PartialFetch {
         source: source.clone(),
         base_version,
-        ..Partial::default()
+        ..PartialFetch::default()
     });
     loop {
         let piece = match next_piece(link, list, &partial).await {
             Ok(piece) => piece,
             Err(error) => {
-                fetches.partial.replace(Some(partial));
+                list_fetch.partial.replace(Some(partial));
                 return Err(error);
             }
         };
@@ -288,24 +300,25 @@
         let metrics = &node.metrics;
         metrics.count_by("list_fetched_bytes_total", list_label(list), bytes);
         partial.bytes.extend_from_slice(&piece.bytes);
-        fetches.note_progress(node.owner.now());
+        list_fetch.note_progress(node.owner.now());
         if partial.bytes.len() >= piece.total_bytes as usize {
             break;
         }
     }
     let took_ms = node.owner.now().saturating_sub(began_at).as_millis() as u64;
     log::info!(peer:% = source, list = list_label(list), base_version, version = partial.target_version, bytes = partial.bytes.len(), took_ms; "list fetched");
-    if let Err(error) = node.learn_fetched(list, &partial.bytes, source) {
-        log::warn!(peer:% = source, list = list_label(list), error:%; "a fetched list is not understood");
+    if let Err(error) = node.apply_fetched(list, &partial.bytes, source) {
+        log::warn!(peer:% = source, list = list_label(list), error:%; "a fetched list can't be decoded");
     }
     Ok(())
 }
 
-/// Asks for the piece after those that came, twice if need be; what came is never asked for again.
+/// Requests the piece after those received, up to [`MAX_LIST_PIECE_TRIES`] times. Received pieces are never
+/// requested again.
 async fn next_piece(
     link: &PeerLink,
     list: ListName,
-    partial: &Partial,
+    partial: &PartialFetch,
 ) -> Result<ListPiece, PeerError> {
     let request = ListPieceRequest {
         list,
@@ -317,8 +330,8 @@
     loop {
         let piece = link.fetch_list_piece(request, LIST_PIECE_TIMEOUT).await;
         match piece {
-            Err(error) if tries < LIST_PIECE_TRIES => {
-                log::debug!(error:%; "a piece of a list is asked for again");
+            Err(error) if tries < MAX_LIST_PIECE_TRIES => {
+                log::debug!(error:%; "requesting a piece of a list again");
                 tries += 1;
             }
             outcome => return outcome,
--- a/crates/dragonflystep_edge/src/list_version.rs
+++ b/crates/dragonflystep_edge/src/list_version.rs
@@ -1,38 +1,40 @@
-//! Versions of lists, as nodes compare them with one another.
+//! Versions of lists, by which nodes decide which of two lists is newer.
 //!
-//! The load it answers: the platform's store returns from a copy some seconds old and begins a new era, in which it gives
-//! numbers of transactions out again. A node that reads the copy knows less than one that read the store before, and both
-//! tell their lists to other nodes.
+//! They are designed for the case that the platform's store is restored from a copy that is some seconds old. The
+//! store then begins a new era, in which it assigns transaction numbers again that it had assigned before. A node
+//! that reads the copy knows less than one that read the store before the restore, and both send their lists to
+//! other nodes.
 
-/// Whether a list is all that is known as of its version.
+/// Set if no entry that the store lacks is expected to return to it.
 const COMPLETE_BIT: u64 = 1;
 
-/// Bits of the transaction's number, above [`COMPLETE_BIT`].
+/// Number of bits of the transaction number, above [`COMPLETE_BIT`].
 const TRANSACTION_BITS: u32 = 40;
 
-/// Set if the list comes from a node that knows what was listed before the era began.
+/// Set if the list comes from a node that knows the entries of the time before the era began.
 const RECALLS_BIT: u64 = 1 << (TRANSACTION_BITS + 1);
 
-/// Lowest bit of the era.
+/// Position of the lowest bit of the era.
 const ERA_SHIFT: u32 = TRANSACTION_BITS + 2;
 
-/// The moment as of which a list was read, and what its reader knows besides.
+/// The state of the store from which a list was read, and what its reader knows in addition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListReading {
-    /// The store's era.
+    /// Era of the store; it rises with each restore from an older copy.
     pub era: u64,
-    /// The store's newest transaction.
+    /// Number of the store's newest transaction.
     pub transaction: u64,
-    /// Whether the reader knows what was listed before the era began.
+    /// Whether the reader knows the entries of the time before the era began.
     pub recalls_earlier_era: bool,
-    /// Whether entries that the store lacks may still return to it.
+    /// Whether entries that are missing in the store may still return to it.
     pub awaits_entries: bool,
 }
 
 impl ListReading {
-    /// The list's version: by era, then by whether its reader knows what was listed before, then by transaction.
+    /// The list's version. Versions are ordered by era, then by whether the reader knows the earlier entries, then
+    /// by transaction.
     ///
-    /// A list with entries that may still return counts as older than one of the same transaction without them.
+    /// Of two lists of the same transaction, one with entries that may still return counts as the older.
     ///
     /// # Examples
     /// ```
@@ -49,8 +51,9 @@
     }
 }
 
-/// Whether the list in force, of version `known`, tells what was listed before `era` began, so that entries which a table
-/// of that era lacks are to be kept. `read_in_era` is the era in which this node read the table before.
+/// Whether the list in force, of version `known`, still has entries of the time before `era` began, so that those
+/// which a table of that era lacks are to be kept. `read_in_era` is the era in which this node read the table
+/// before.
 ///
 /// # Examples
 /// ```
@@ -65,13 +68,14 @@
     is_of_earlier_era || read_in_era < era && recalls_before(known, era)
 }
 
-/// The number of an order that was written in a transaction of an era; comparable with [`era_of`].
+/// The number of an order that was written in a transaction of an era. [`era_of`] also returns the era of such a
+/// number.
 pub fn order_number(era: u64, transaction: u64) -> u64 {
     era << ERA_SHIFT | transaction
 }
 
-/// Whether two numbers of orders with the same content are of one order: a store that returned from an older copy has it
-/// under another number.
+/// Whether two numbers of orders with the same content belong to the same order. A store that was restored from an
+/// older copy has it under another number.
 ///
 /// # Examples
 /// ```
@@ -89,16 +93,18 @@
     known >> ERA_SHIFT
 }
 
-/// Whether a list of version `known` came from a node that knows what was listed before `era` began.
+/// Whether a list of version `known` came from a node that knows the entries of the time before `era` began.
 ///
-/// Nodes that have such a list take only lists of such nodes for newer; so what they read themselves counts as one.
+/// Nodes with such a list accept only lists of such nodes as newer. Lists that they read from the store themselves
+/// must therefore count as such as well.
 pub fn recalls_before(known: u64, era: u64) -> bool {
     era_of(known) == era && known & RECALLS_BIT != 0
 }
 
 /// Whether a list of version `theirs` is to replace one of version `known`.
 ///
-/// A list of a later era whose reader does not know what was listed before may lack entries that are still there.
+/// A list of a later era is not accepted if its reader does not know the earlier entries, because it may lack
+/// entries that are still valid.
 pub(crate) fn supersedes(theirs: u64, known: u64) -> bool {
     let is_later_era = era_of(theirs) > era_of(known);
     theirs > known && (known == 0 || !is_later_era || theirs & RECALLS_BIT != 0)
--- a/crates/dragonflystep_edge/src/members.rs
+++ b/crates/dragonflystep_edge/src/members.rs
@@ -1,7 +1,8 @@
-//! Which nodes there are, and which of them this node sees.
+//! The list of nodes, and which of them are visible to this one.
 //!
-//! The platform's table lists the nodes; whether one is there is learned by exchanging views with it, and from what the
-//! owners say (`members/reachability.rs`). A node that was not tried yet counts as there.
+//! The platform's table lists the nodes. Whether a node is running is learned from gossip exchanges with it and
+//! from the suspicions that the owners report (`members/reachability.rs`). A node that has not been tried yet
+//! counts as visible.
 
 mod reachability;
 
@@ -26,19 +27,20 @@
     tokio::sync::Notify,
 };
 
-/// Another node.
-struct Other {
+/// Another node: its record, the connection to it, and what is known of its state.
+struct PeerState {
     record: MemberRecord,
     link: Rc<PeerLink>,
-    /// Since when it has not answered; none if it did when it was called last.
+    /// When the current series of failed calls began; `None` if the last call was answered.
     failed_since: Option<MonotonicTime>,
-    /// Whether it answered or failed since this node started.
+    /// Whether a call to it was answered or failed since this node started.
     is_tried: bool,
-    /// Whether its machine said that no process listens there; such a node runs nothing.
+    /// Whether its machine refused the connection, which means that no process listens there. Such a node runs
+    /// nothing.
     is_down: bool,
     is_leaving: bool,
-    /// Whether it said that this node is unavailable to it.
-    misses_us: bool,
+    /// Whether its last digest listed this node as unavailable.
+    reports_us_unavailable: bool,
 }
 
 impl ListEntry for MemberRecord {
@@ -47,14 +49,14 @@
     }
 }
 
-/// The nodes of the system as this one sees them.
+/// The nodes of the system from the point of view of this one.
 pub(crate) struct Members {
-    own: MemberRecord,
+    own_record: MemberRecord,
     network: Rc<dyn PeerNetwork>,
-    /// The list of nodes, of which `others` is made.
+    /// The list of nodes, from which `peers` is built.
     list: RefCell<VersionedList<MemberRecord>>,
-    others: RefCell<BTreeMap<NodeName, Other>>,
-    /// All listed nodes by rank, for each key; ranked again when the list changes.
+    peers: RefCell<BTreeMap<NodeName, PeerState>>,
+    /// All listed nodes by rank, for each ranking key; emptied when the list changes.
     rankings: RefCell<HashMap<&'static str, Rc<[NodeName]>>>,
     suspicions: RefCell<Suspicions>,
     list_known: Notify,
@@ -62,12 +64,12 @@
 }
 
 impl Members {
-    pub(crate) fn new(own: MemberRecord, network: Rc<dyn PeerNetwork>) -> Self {
+    pub(crate) fn new(own_record: MemberRecord, network: Rc<dyn PeerNetwork>) -> Self {
         Self {
-            own,
+            own_record,
             network,
             list: RefCell::default(),
-            others: RefCell::default(),
+            peers: RefCell::default(),
             rankings: RefCell::default(),
             suspicions: RefCell::default(),
             list_known: Notify::new(),
@@ -75,191 +77,195 @@
         }
     }
 
-    /// Waits until a list of nodes is known.
-    pub(crate) async fn first_listed(&self) {
+    /// Waits until this node has a list of nodes.
+    pub(crate) async fn wait_for_list(&self) {
         if self.version() == 0 {
             self.list_known.notified().await;
         }
     }
 
-    pub(crate) fn own(&self) -> &MemberRecord {
-        &self.own
+    pub(crate) fn own_record(&self) -> &MemberRecord {
+        &self.own_record
     }
 
-    /// Version of the list of nodes; 0 is none.
+    /// Version of the list of nodes; 0 if there is none.
     pub(crate) fn version(&self) -> u64 {
         self.list.borrow().version()
     }
 
-    /// Whether the list names this node.
-    pub(crate) fn lists_own(&self) -> bool {
-        self.list.borrow().contains(&self.own.node)
+    /// Whether the list contains this node.
+    pub(crate) fn is_own_node_listed(&self) -> bool {
+        self.list.borrow().contains(&self.own_record.node)
     }
 
-    /// The list of nodes.
+    /// The versioned list of nodes, to be sent to other nodes.
     pub(crate) fn list(&self) -> Ref<'_, VersionedList<MemberRecord>> {
         self.list.borrow()
     }
 
-    /// Takes over a whole list of nodes; says whether it is news.
+    /// Replaces the list of nodes by a newer one. Returns whether it was replaced.
     pub(crate) fn replace_records(&self, version: u64, records: Vec<MemberRecord>) -> bool {
-        let is_news = self.list.borrow_mut().replace(version, records);
-        self.refresh_others(is_news)
+        let has_changed = self.list.borrow_mut().replace(version, records);
+        self.refresh_peers(has_changed)
     }
 
-    /// Applies what another node sent of the list; says whether it is news.
+    /// Applies changes of the list that another node sent. Returns whether the list changed.
     pub(crate) fn apply_records(&self, changes: Changes<MemberRecord>) -> bool {
-        let is_news = self.list.borrow_mut().apply(changes);
-        self.refresh_others(is_news)
+        let has_changed = self.list.borrow_mut().apply(changes);
+        self.refresh_peers(has_changed)
     }
 
-    fn refresh_others(&self, is_news: bool) -> bool {
-        if is_news {
+    fn refresh_peers(&self, has_changed: bool) -> bool {
+        if has_changed {
             let records = self.list.borrow().entries().cloned().collect();
             self.set_records(records);
             self.list_known.notify_waiters();
         }
-        is_news
+        has_changed
     }
 
     fn set_records(&self, records: Vec<MemberRecord>) {
-        let mut others = self.others.borrow_mut();
-        let mut before = std::mem::take(&mut *others);
+        let mut peers = self.peers.borrow_mut();
+        let mut before = std::mem::take(&mut *peers);
         for record in records {
-            if record.node == self.own.node {
+            if record.node == self.own_record.node {
                 continue;
             }
-            let other = match before.remove(&record.node) {
+            let peer = match before.remove(&record.node) {
                 Some(known) if known.record == record => known,
-                _ => Other::new(record.clone(), self.network.clone()),
+                _ => PeerState::new(record.clone(), self.network.clone()),
             };
-            others.insert(record.node.clone(), other);
+            peers.insert(record.node.clone(), peer);
         }
         self.rankings.borrow_mut().clear();
         let mut suspicions = self.suspicions.borrow_mut();
-        suspicions.keep_only(|node| others.contains_key(node));
+        suspicions.retain_listed(|node| peers.contains_key(node));
     }
 
-    /// Nodes that are listed, this one included.
+    /// Number of listed nodes, this one included even if it is not listed yet.
     pub(crate) fn listed_count(&self) -> usize {
-        self.others.borrow().len() + 1
+        self.peers.borrow().len() + 1
     }
 
-    /// Nodes that may be running, this one included.
+    /// Number of nodes that may be running, this one included.
     pub(crate) fn known_count(&self) -> usize {
-        let others = self.others.borrow();
-        others.values().filter(|other| !other.is_down).count() + 1
+        let peers = self.peers.borrow();
+        peers.values().filter(|peer| !peer.is_down).count() + 1
     }
 
-    /// Nodes that are seen and see this one, itself included.
+    /// Number of nodes that are visible to this one and do not report it as unavailable, itself included.
     ///
-    /// Whoever can call others but can't be called would otherwise count itself to the majority, beside the nodes
-    /// that go by another owner; both would give out an account's whole quota.
-    pub(crate) fn mutual_count(&self, now: MonotonicTime) -> usize {
-        let others = self.others.borrow();
+    /// A node that can call others but can't be called would otherwise count itself to the majority, while the
+    /// other nodes use another owner. Both owners would grant an account's whole quota.
+    pub(crate) fn mutually_visible_count(&self, now: MonotonicTime) -> usize {
+        let peers = self.peers.borrow();
         let suspicions = self.suspicions.borrow();
-        let mutual = others
+        let mutual = peers
             .values()
-            .filter(|other| other.is_visible(&suspicions, now) && !other.misses_us);
+            .filter(|peer| peer.is_visible(&suspicions, now) && !peer.reports_us_unavailable);
         mutual.count() + 1
     }
 
-    /// Whether this node has tried enough others to know what it sees.
+    /// Whether this node has tried at least half of its direct partners, so that its view of the system can be
+    /// relied on.
     ///
-    /// A node that has just started knows a list of nodes and has heard none of them. Counting them as seen would make
-    /// it an owner with the whole quota of each account, beside the owner that the others still ask.
+    /// A node that has just started knows a list of nodes but has not heard from any of them. If it counted them as
+    /// visible, it would become an owner with the whole quota of each account, while the others still use another
+    /// owner.
     pub(crate) fn has_discovered_peers(&self) -> bool {
         if self.has_discovered_peers.get() || self.version() == 0 {
             return self.has_discovered_peers.get();
         }
         let partners = self.direct_partners();
-        let others = self.others.borrow();
+        let peers = self.peers.borrow();
         let tried = partners
             .iter()
-            .filter_map(|node| others.get(node))
-            .filter(|other| other.is_tried);
+            .filter_map(|node| peers.get(node))
+            .filter(|peer| peer.is_tried);
         let is_enough = tried.count() * 2 >= partners.len();
         self.has_discovered_peers.set(is_enough);
         is_enough
     }
 
     pub(crate) fn link(&self, node: &str) -> Option<Rc<PeerLink>> {
-        let others = self.others.borrow();
-        others.get(node).map(|other| other.link.clone())
+        let peers = self.peers.borrow();
+        peers.get(node).map(|peer| peer.link.clone())
     }
 
-    /// A link of its own for a transfer: an exchange of views that comes too late resets the usual link, and a
-    /// transfer would break off with it.
+    /// A separate connection for a transfer. A gossip exchange that times out resets the usual connection and would
+    /// break off the transfer with it.
     pub(crate) fn transfer_link(&self, node: &str) -> Option<PeerLink> {
-        let others = self.others.borrow();
-        let address = others.get(node).map(|other| other.record.peers.clone())?;
+        let peers = self.peers.borrow();
+        let address = peers.get(node).map(|peer| peer.record.peers.clone())?;
         Some(PeerLink::with_network(self.network.clone(), address))
     }
 
-    /// The first `most` nodes by rank for `key`; nodes that are not seen or are leaving have no rank.
+    /// The first `limit` nodes by rank for `key`, without nodes that are not visible or are leaving. If no node is
+    /// left, this one is returned.
     pub(crate) fn ranked(
         &self,
         now: MonotonicTime,
         key: &'static str,
         is_leaving: bool,
-        most: usize,
+        limit: usize,
     ) -> Vec<NodeName> {
-        let others = self.others.borrow();
+        let peers = self.peers.borrow();
         let suspicions = self.suspicions.borrow();
-        let is_candidate = |node: &&NodeName| match others.get(&**node) {
-            Some(other) => other.is_visible(&suspicions, now) && !other.is_leaving,
+        let is_candidate = |node: &&NodeName| match peers.get(&**node) {
+            Some(peer) => peer.is_visible(&suspicions, now) && !peer.is_leaving,
             None => !is_leaving,
         };
         let ranking = self.ranking(key);
         let ranked: Vec<NodeName> = ranking
             .iter()
             .filter(is_candidate)
-            .take(most)
+            .take(limit)
             .cloned()
             .collect();
         if ranked.is_empty() {
-            return vec![self.own.node.clone()];
+            return vec![self.own_record.node.clone()];
         }
         ranked
     }
 
-    /// Nodes that own the services if all are there.
+    /// The first nodes by rank as owners, whether or not they are visible; nodes that are leaving are left out.
     pub(crate) fn first_owners(&self) -> Vec<NodeName> {
-        let others = self.others.borrow();
-        let is_leaving = |node: &str| others.get(node).is_some_and(|other| other.is_leaving);
+        let peers = self.peers.borrow();
+        let is_leaving = |node: &str| peers.get(node).is_some_and(|peer| peer.is_leaving);
         let ranking = self.ranking(OWNERS_KEY);
         let staying = ranking.iter().filter(|node| !is_leaving(node));
         staying.take(PREFERRED_OWNERS).cloned().collect()
     }
 
-    /// All listed nodes by rank for `key`, this one included.
+    /// All listed nodes and this one, by rank for `key`.
     fn ranking(&self, key: &'static str) -> Rc<[NodeName]> {
         let mut rankings = self.rankings.borrow_mut();
         let ranking = rankings.entry(key).or_insert_with(|| {
-            let others = self.others.borrow();
-            let records = others.values().map(|other| &other.record);
-            let members: Vec<Member> = records.chain([&self.own]).map(member).collect();
+            let peers = self.peers.borrow();
+            let records = peers.values().map(|peer| &peer.record);
+            let members: Vec<Member> = records.chain([&self.own_record]).map(member).collect();
             rank_owners(key, &members).into()
         });
         ranking.clone()
     }
 
-    /// Addresses for callers of a data centre: the nodes there, and others where fewer than two are seen.
+    /// Addresses for the callers of a data centre: the visible nodes there, or all visible nodes if fewer than two
+    /// are there.
     pub(crate) fn caller_addresses(
         &self,
         now: MonotonicTime,
         data_centre: Option<&DataCentreName>,
         is_leaving: bool,
     ) -> Vec<String> {
-        let others = self.others.borrow();
+        let peers = self.peers.borrow();
         let suspicions = self.suspicions.borrow();
-        let mut records: Vec<&MemberRecord> = others
+        let mut records: Vec<&MemberRecord> = peers
             .values()
-            .filter(|other| other.is_visible(&suspicions, now) && !other.is_leaving)
-            .map(|other| &other.record)
+            .filter(|peer| peer.is_visible(&suspicions, now) && !peer.is_leaving)
+            .map(|peer| &peer.record)
             .collect();
         if !is_leaving {
-            records.push(&self.own);
+            records.push(&self.own_record);
         }
         let near: Vec<&MemberRecord> = records
             .iter()
@@ -270,8 +276,8 @@
         chosen.iter().map(|record| record.ingress.clone()).collect()
     }
 
-    /// Nodes with which this one exchanges views whatever it believes of them: its neighbours, and in a
-    /// large system the nodes that own the services if all are there.
+    /// Nodes with which this one exchanges digests whether or not they are visible: its neighbours, and in a large
+    /// system the first owners.
     pub(crate) fn direct_partners(&self) -> Vec<NodeName> {
         let mut partners = self.neighbours();
         if self.listed_count() > SMALL_SYSTEM_NODES {
@@ -280,20 +286,21 @@
         partners
     }
 
-    /// Nodes that this one checks: all in a small system, else the next ones by name.
+    /// Nodes that this one probes: all others in a small system, otherwise those that follow it in the order of
+    /// names, as on a ring.
     pub(crate) fn neighbours(&self) -> Vec<NodeName> {
-        let others = self.others.borrow();
-        if others.len() < SMALL_SYSTEM_NODES {
-            return others.keys().cloned().collect();
+        let peers = self.peers.borrow();
+        if peers.len() < SMALL_SYSTEM_NODES {
+            return peers.keys().cloned().collect();
         }
-        let after = others.range::<NodeName, _>(self.own.node.clone()..);
-        let before = others.range::<NodeName, _>(..self.own.node.clone());
+        let after = peers.range::<NodeName, _>(self.own_record.node.clone()..);
+        let before = peers.range::<NodeName, _>(..self.own_record.node.clone());
         let ring = after.chain(before).map(|(node, _)| node.clone());
         ring.take(LARGE_SYSTEM_NEIGHBOURS).collect()
     }
 }
 
-impl Other {
+impl PeerState {
     fn new(record: MemberRecord, network: Rc<dyn PeerNetwork>) -> Self {
         Self {
             link: Rc::new(PeerLink::with_network(network, record.peers.clone())),
@@ -302,7 +309,7 @@
             is_tried: false,
             is_down: false,
             is_leaving: false,
-            misses_us: false,
+            reports_us_unavailable: false,
         }
     }
 
--- a/crates/dragonflystep_edge/src/members/reachability.rs
+++ b/crates/dragonflystep_edge/src/members/reachability.rs
@@ -1,31 +1,33 @@
-//! What this node learns of whether others are there: by its own calls, by theirs, and by what they say.
+//! Records whether other nodes are reachable: from this node's calls to them, from their calls, and from the
+//! suspicions that they report.
 
 use {
-    super::{Members, Other},
-    crate::limits::{CUT_OFF_FROM_OWNER, HEARD_RECENTLY, SMALL_SYSTEM_NODES},
+    super::{Members, PeerState},
+    crate::limits::{MIN_OWNER_CUT_OFF, RECENT_CONTACT_WINDOW, SMALL_SYSTEM_NODES},
     dragonflystep_dispatch::{MonotonicTime, NodeName},
     dragonflystep_peer::PeerError,
 };
 
 impl Members {
-    /// Notes that a node answered; says whether it shows that this node was cut off from a first owner.
-    pub(crate) fn answered(&self, now: MonotonicTime, node: &str, is_leaving: bool) -> bool {
-        let mut others = self.others.borrow_mut();
-        let Some(other) = others.get_mut(node) else {
+    /// Records that a node answered. Returns whether the answer shows that this node was cut off from a first
+    /// owner.
+    pub(crate) fn record_answer(&self, now: MonotonicTime, node: &str, is_leaving: bool) -> bool {
+        let mut peers = self.peers.borrow_mut();
+        let Some(peer) = peers.get_mut(node) else {
             return false;
         };
-        let failed_since = other.failed_since.take();
-        other.is_tried = true;
-        other.is_down = false;
-        other.is_leaving = is_leaving;
-        drop(others);
-        self.suspicions.borrow_mut().heard(now, node);
+        let failed_since = peer.failed_since.take();
+        peer.is_tried = true;
+        peer.is_down = false;
+        peer.is_leaving = is_leaving;
+        drop(peers);
+        self.suspicions.borrow_mut().record_contact(now, node);
         let Some(since) = failed_since else {
             return false;
         };
         log::info!(peer = node; "node is reachable again");
         let failed_for = now.saturating_sub(since);
-        let was_cut_off = failed_for >= CUT_OFF_FROM_OWNER
+        let was_cut_off = failed_for >= MIN_OWNER_CUT_OFF
             && self.first_owners().iter().any(|owner| **owner == *node);
         if was_cut_off {
             log::info!(peer = node, failed_for_ms = failed_for.as_millis() as u64; "this node was cut off from a first owner");
@@ -34,115 +36,121 @@
         was_cut_off
     }
 
-    /// Notes that a node did not answer.
+    /// Records that a call to a node failed.
     pub(crate) fn failed(&self, now: MonotonicTime, node: &str, error: &PeerError) {
-        if let Some(other) = self.others.borrow_mut().get_mut(node) {
-            if other.failed_since.is_none() {
+        if let Some(peer) = self.peers.borrow_mut().get_mut(node) {
+            if peer.failed_since.is_none() {
                 log::warn!(peer = node, reason:% = error; "node does not answer");
-                other.failed_since = Some(now);
+                peer.failed_since = Some(now);
             }
-            other.is_tried = true;
-            other.is_down = error.is_refused();
-            other.link.reset();
+            peer.is_tried = true;
+            peer.is_down = error.is_refused();
+            peer.link.reset();
         }
     }
 
-    /// Notes that this node did not run for a while.
-    pub(crate) fn resumed(&self, now: MonotonicTime) {
+    /// Records that this node was paused, so that its suspicions are out of date.
+    pub(crate) fn record_pause(&self, now: MonotonicTime) {
         self.suspicions.borrow_mut().reset(now);
     }
 
-    /// Takes all nodes for reachable until they are tried again: those that failed while this node was cut off may be
-    /// well, and trying them one after the other may take longer than the cut.
+    /// Counts all nodes as reachable until they are tried again. Nodes that failed while this one was cut off may
+    /// be well, and trying them one after the other may take longer than the cut.
     pub(crate) fn forget_failures(&self, now: MonotonicTime) {
-        for other in self.others.borrow_mut().values_mut() {
-            other.failed_since = None;
+        for peer in self.peers.borrow_mut().values_mut() {
+            peer.failed_since = None;
         }
         self.suspicions.borrow_mut().reset(now);
     }
 
-    /// Notes whether a node said that it is stopping.
+    /// Records whether a node reports that it is stopping.
     pub(crate) fn set_leaving(&self, node: &str, is_leaving: bool) {
-        if let Some(other) = self.others.borrow_mut().get_mut(node) {
-            other.is_leaving = is_leaving;
+        if let Some(peer) = self.peers.borrow_mut().get_mut(node) {
+            peer.is_leaving = is_leaving;
         }
     }
 
-    /// Notes whether a node counts this one as unavailable.
-    pub(crate) fn set_misses_us(&self, node: &str, unavailable: &[NodeName]) {
-        if let Some(other) = self.others.borrow_mut().get_mut(node) {
-            other.misses_us = unavailable.contains(&self.own.node);
+    /// Records whether a node lists this one as unavailable.
+    pub(crate) fn set_reports_us_unavailable(&self, node: &str, unavailable: &[NodeName]) {
+        if let Some(peer) = self.peers.borrow_mut().get_mut(node) {
+            peer.reports_us_unavailable = unavailable.contains(&self.own_record.node);
         }
     }
 
-    /// Whether a node did not answer this one when it was called last.
+    /// Whether the last call to a node failed.
     pub(crate) fn has_failed(&self, node: &str) -> bool {
-        let others = self.others.borrow();
-        others.get(node).is_some_and(Other::has_failed)
+        let peers = self.peers.borrow();
+        peers.get(node).is_some_and(PeerState::has_failed)
     }
 
-    /// Nodes that do not answer this one.
+    /// Nodes to which the last call failed.
     pub(crate) fn failed_nodes(&self) -> Vec<NodeName> {
-        self.nodes_where(Other::has_failed)
+        self.nodes_where(PeerState::has_failed)
     }
 
-    /// Nodes that do not answer this one, or told it that they are stopping.
+    /// Nodes to which the last call failed or that report that they are stopping.
     pub(crate) fn own_unavailable(&self) -> Vec<NodeName> {
-        self.nodes_where(|other| other.has_failed() || other.is_leaving)
+        self.nodes_where(|peer| peer.has_failed() || peer.is_leaving)
     }
 
-    fn nodes_where(&self, is_meant: impl Fn(&Other) -> bool) -> Vec<NodeName> {
-        let others = self.others.borrow();
-        let meant = others.iter().filter(|(_, other)| is_meant(other));
-        meant.map(|(node, _)| node.clone()).collect()
+    fn nodes_where(&self, matches: impl Fn(&PeerState) -> bool) -> Vec<NodeName> {
+        let peers = self.peers.borrow();
+        let matching = peers.iter().filter(|(_, peer)| matches(peer));
+        matching.map(|(node, _)| node.clone()).collect()
     }
 
-    /// Notes that a node called.
-    pub(crate) fn heard(&self, now: MonotonicTime, node: &str) {
-        self.suspicions.borrow_mut().heard(now, node);
+    /// Records that a node called this one.
+    pub(crate) fn record_contact(&self, now: MonotonicTime, node: &str) {
+        self.suspicions.borrow_mut().record_contact(now, node);
     }
 
-    /// Nodes that called this one lately, or answered it, itself included.
-    pub(crate) fn recently_heard_count(&self, now: MonotonicTime) -> usize {
+    /// Number of nodes that called this one or answered it within [`RECENT_CONTACT_WINDOW`], itself included.
+    pub(crate) fn recent_contact_count(&self, now: MonotonicTime) -> usize {
         let suspicions = self.suspicions.borrow();
-        suspicions.heard_within(now, HEARD_RECENTLY) + 1
+        suspicions.contacts_within(now, RECENT_CONTACT_WINDOW) + 1
     }
 
-    /// Records which nodes do not answer a calling node; counts where all nodes call this one.
-    pub(crate) fn accused(&self, now: MonotonicTime, nodes: &[NodeName], is_called_by_all: bool) {
+    /// Records the suspicions of a calling node. They are accepted only while all nodes call this one.
+    pub(crate) fn apply_caller_suspicions(
+        &self,
+        now: MonotonicTime,
+        nodes: &[NodeName],
+        is_called_by_all: bool,
+    ) {
         let mut suspicions = self.suspicions.borrow_mut();
         suspicions.set_called_by_all(now, is_called_by_all);
         if is_called_by_all {
-            suspicions.accused(now, &self.unconfirmed(nodes));
+            suspicions.apply_caller_suspicions(now, &self.without_direct_partners(nodes));
         }
     }
 
-    /// Applies an owner's suspicions; not passed on, so that it does not go on circulating.
-    pub(crate) fn suspected_by_owner(
+    /// Applies the suspicions that an owner reports. They are not passed on, because they would then circulate
+    /// without end.
+    pub(crate) fn apply_owner_suspicions(
         &self,
         now: MonotonicTime,
         owner: &NodeName,
         nodes: &[NodeName],
     ) {
         let mut suspicions = self.suspicions.borrow_mut();
-        suspicions.suspected_by_owner(now, owner, &self.unconfirmed(nodes));
+        suspicions.apply_owner_suspicions(now, owner, &self.without_direct_partners(nodes));
     }
 
-    /// Those of some nodes of which this one accepts others' suspicions.
+    /// Removes the nodes that this one checks itself, because others' suspicions of them are not accepted.
     ///
-    /// What this node sees itself goes before what others say: after a start of all nodes some have called the owner
-    /// too early, and their word would split the services between two owners.
-    fn unconfirmed(&self, nodes: &[NodeName]) -> Vec<NodeName> {
-        // With few nodes each one tries all others itself.
+    /// This node's own observations take precedence. After a start of all nodes, some have called the owner before
+    /// it was ready, and their suspicions would split the services between two owners.
+    fn without_direct_partners(&self, nodes: &[NodeName]) -> Vec<NodeName> {
+        // In a small system every node checks all others itself.
         if nodes.is_empty() || self.listed_count() <= SMALL_SYSTEM_NODES {
             return Vec::new();
         }
-        let seen_directly = self.direct_partners();
-        let unconfirmed = nodes.iter().filter(|node| !seen_directly.contains(node));
-        unconfirmed.cloned().collect()
+        let checked_directly = self.direct_partners();
+        let remaining = nodes.iter().filter(|node| !checked_directly.contains(node));
+        remaining.cloned().collect()
     }
 
-    /// Nodes that do not answer this one, or are suspected by its callers.
+    /// Nodes to which the last call failed, that are stopping, or that callers suspect.
     pub(crate) fn all_unavailable(&self, now: MonotonicTime) -> Vec<NodeName> {
         let mut nodes = self.own_unavailable();
         nodes.extend(self.suspicions.borrow_mut().suspects(now));
--- a/crates/dragonflystep_edge/src/node.rs
+++ b/crates/dragonflystep_edge/src/node.rs
@@ -1,4 +1,4 @@
-//! One node put together.
+//! The state of a node, which its tasks share, and the operations that apply new documents to it.
 
 mod digest;
 mod liveness;
@@ -40,25 +40,26 @@
     },
 };
 
-/// Why a node can't run.
+/// Why a node can't start or go on.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// An address can't be listened on.
+    /// Binding a listening socket failed.
     #[error("can't listen on {address} for {purpose}: {source}")]
     Listen {
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// What it is for.
+        /// Use of the listener, for example "callers".
         purpose: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals can't be received.
+    /// Installing a signal handler failed.
     #[error("can't receive signals: {0}")]
     Signals(io::Error),
 }
 
-/// A node: its views, its links, and the owner's decisions.
+/// The state of a node: its documents, its view of the other nodes, its connections, and the owner that grants
+/// slots.
 pub struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) dialect: Box<dyn Dialect>,
@@ -72,21 +73,22 @@
     pub(crate) list_fetches: ListFetches,
     pub(crate) rollouts: Rc<Rollouts>,
     pub(crate) stop: StopSignal,
-    /// Settings that a reload may change.
+    /// Grace period of a stop. A reload of the settings may change this value and the next one.
     pub(crate) stop_grace: Cell<Duration>,
     pub(crate) address_lifetime: Cell<Duration>,
     random: RefCell<SmallRng>,
     incarnation: u64,
     runs_started: Cell<u32>,
-    /// When another node last answered an exchange.
-    exchanged_at: Cell<MonotonicTime>,
-    /// When the platform last answered a call.
+    /// When another node last answered a gossip exchange.
+    peer_answered_at: Cell<MonotonicTime>,
+    /// When the platform last answered a call of this node.
     platform_answered_at: Cell<MonotonicTime>,
-    /// When the platform last answered this node or one of which it heard.
+    /// When the platform last answered this node, or another one that reported it in a gossip exchange.
     platform_heard_at: Cell<MonotonicTime>,
-    /// Since when the platform has been answering somebody without a longer gap, as far as this node heard.
+    /// Start of the current period in which the platform answered some node without a gap, as far as this
+    /// node has learned.
     platform_up_since: Cell<MonotonicTime>,
-    /// The node that was asked for a place last.
+    /// The owner that this node used last; absent before the first request.
     last_owner: RefCell<Option<NodeName>>,
 }
 
@@ -99,7 +101,7 @@
         let seed = settings.seed.unwrap_or_else(rand::random);
         let mut random = SmallRng::seed_from_u64(seed);
         let incarnation = random.random();
-        let own = MemberRecord {
+        let own_record = MemberRecord {
             node: settings.node.clone(),
             data_centre: settings.data_centre.clone(),
             ingress: settings.ingress.to_string(),
@@ -109,7 +111,7 @@
         let rollouts = Rc::new(Rollouts::default());
         Self {
             owner: Rc::new(Owner::new(settings.shared_limits, rollouts.clone())),
-            members: Members::new(own, network),
+            members: Members::new(own_record, network),
             entry_runs: EntryRuns::new(
                 settings.shared_limits.quota.window,
                 settings.is_first_start,
@@ -126,7 +128,7 @@
             random: RefCell::new(random),
             incarnation,
             runs_started: Cell::new(0),
-            exchanged_at: Cell::new(Duration::ZERO),
+            peer_answered_at: Cell::new(Duration::ZERO),
             platform_answered_at: Cell::new(Duration::ZERO),
             platform_heard_at: Cell::new(Duration::ZERO),
             platform_up_since: Cell::new(Duration::ZERO),
@@ -136,12 +138,13 @@
         }
     }
 
-    /// A wait times a random factor, so that nodes which started or failed together do not stay in step.
+    /// Returns `wait` times a random factor from `factors`, so that nodes which started or failed together do not
+    /// stay in step.
     pub fn jittered(&self, wait: Duration, factors: Range<f64>) -> Duration {
         wait.mul_f64(self.random.borrow_mut().random_range(factors))
     }
 
-    /// Notes which node is asked for places, if that changed.
+    /// Logs and counts a change of the owner that this node asks for slots.
     pub(crate) fn note_owner(&self, owner: Option<&NodeName>) {
         let mut last = self.last_owner.borrow_mut();
         if last.as_ref() == owner {
@@ -153,84 +156,84 @@
         *last = owner.cloned();
     }
 
-    /// Version of the catalogue in force; 0 is none.
+    /// Version of the catalogue in force; 0 if there is none.
     pub fn catalogue_version(&self) -> u64 {
         self.views.catalogue_version()
     }
 
-    /// How much of the system this node sees.
+    /// How many of the nodes that may be running are visible to this one.
     pub fn visibility(&self) -> Visibility {
         self.owner.visibility()
     }
 
-    /// The node that this one asks for places.
+    /// The node that this one asks for slots.
     pub fn owner(&self) -> Option<NodeName> {
         self.ranked_owners(1).into_iter().next()
     }
 
-    /// Whether this node sees most of the nodes that may be running.
+    /// Whether more than half of the nodes that may be running are visible to this one.
     pub fn sees_majority(&self) -> bool {
         self.owner.visibility().is_majority()
     }
 
-    /// Nodes that are listed, this one included.
+    /// Number of listed nodes, this one included.
     pub fn listed_nodes(&self) -> usize {
         self.members.listed_count()
     }
 
-    /// Whether the list of nodes in force names this node.
+    /// Whether the list of nodes in force contains this node.
     pub fn is_listed(&self) -> bool {
-        self.members.lists_own()
+        self.members.is_own_node_listed()
     }
 
-    /// Version of the list of nodes in force; 0 is none.
+    /// Version of the list of nodes in force; 0 if there is none.
     pub fn members_version(&self) -> u64 {
         self.members.version()
     }
 
-    /// The list of nodes in force.
+    /// The entries of the list of nodes in force; this node's own is among them if it is listed.
     pub fn member_records(&self) -> Vec<MemberRecord> {
         self.members.list().entries().cloned().collect()
     }
 
-    /// Version of the registry in force; 0 is none.
+    /// Version of the registry in force; 0 if there is none.
     pub fn registry_version(&self) -> u64 {
         self.views.registry().version
     }
 
-    /// The upstreams of the registry in force.
+    /// The upstreams in the registry in force.
     pub fn upstreams(&self) -> Rc<Vec<Upstream>> {
         self.views.registry().upstreams
     }
 
-    /// How other nodes find this one.
+    /// This node's own entry in the list of nodes.
     pub fn member_record(&self) -> &MemberRecord {
-        self.members.own()
+        self.members.own_record()
     }
 
-    /// Applies a catalogue document; older versions than the present one are left alone.
+    /// Applies a catalogue document, unless the catalogue in force is as new. `source` names its origin in the log.
     pub fn learn_catalogue(&self, document: &[u8], source: &str) {
         let catalogue = match self.dialect.read_catalogue(document) {
             Ok(catalogue) => catalogue,
             Err(error) => {
-                log::error!(source, error:%; "catalogue is not understood; the last good one stays in force");
+                log::error!(source, error:%; "catalogue can't be decoded; the one in force stays");
                 return;
             }
         };
         let before = self.views.catalogue_version();
-        let is_news = self.views.replace_catalogue(catalogue);
-        self.use_catalogue(is_news, before, source);
+        let has_changed = self.views.replace_catalogue(catalogue);
+        self.activate_catalogue(has_changed, before, source);
     }
 
-    /// Applies what another node sent of the catalogue.
+    /// Applies changes of the catalogue that another node sent.
     pub(crate) fn learn_catalogue_changes(&self, changes: Changes<CatalogueEntry>, source: &str) {
         let before = self.views.catalogue_version();
-        let is_news = self.views.apply_catalogue(changes);
-        self.use_catalogue(is_news, before, source);
+        let has_changed = self.views.apply_catalogue(changes);
+        self.activate_catalogue(has_changed, before, source);
     }
 
-    fn use_catalogue(&self, is_news: bool, before: u64, source: &str) {
-        let Some(table) = self.views.catalogue().filter(|_| is_news) else {
+    fn activate_catalogue(&self, has_changed: bool, before: u64, source: &str) {
+        let Some(table) = self.views.catalogue().filter(|_| has_changed) else {
             return;
         };
         let catalogue = table.catalogue().clone();
@@ -239,22 +242,22 @@
         self.owner.apply(Event::CatalogueChanged(catalogue));
     }
 
-    /// Applies the registry of upstreams; older versions than the present one are left alone.
+    /// Applies a version of the registry of upstreams, unless the one in force is as new.
     pub fn learn_registry(&self, version: u64, upstreams: Vec<Upstream>, source: &str) {
         let before = self.views.registry().version;
-        let is_news = self.views.replace_registry(version, upstreams);
-        self.use_registry(is_news, before, source);
+        let has_changed = self.views.replace_registry(version, upstreams);
+        self.activate_registry(has_changed, before, source);
     }
 
-    /// Applies what another node sent of the registry.
+    /// Applies changes of the registry that another node sent.
     pub(crate) fn learn_registry_changes(&self, changes: Changes<Upstream>, source: &str) {
         let before = self.views.registry().version;
-        let is_news = self.views.apply_registry(changes);
-        self.use_registry(is_news, before, source);
+        let has_changed = self.views.apply_registry(changes);
+        self.activate_registry(has_changed, before, source);
     }
 
-    fn use_registry(&self, is_news: bool, before: u64, source: &str) {
-        if !is_news {
+    fn activate_registry(&self, has_changed: bool, before: u64, source: &str) {
+        if !has_changed {
             return;
         }
         let registry = self.views.registry();
@@ -263,7 +266,7 @@
         self.owner.apply(Event::UpstreamsChanged(upstreams));
     }
 
-    /// Whether an upstream takes requests, as far as this node knows from the platform and other nodes.
+    /// Whether an upstream takes requests, according to the registry in force and the notices that this node knows.
     pub fn believes_ready(&self, id: &str) -> bool {
         let registry = self.views.registry();
         let mut upstreams = registry.upstreams.iter();
@@ -274,7 +277,7 @@
         })
     }
 
-    /// Applies a changed settings file; addresses and names stay until a restart.
+    /// Applies changed settings. Addresses and names take effect only after a restart.
     pub fn reload(&self, settings: &NodeSettings) {
         self.owner
             .apply(Event::LimitsChanged(settings.shared_limits));
@@ -283,63 +286,63 @@
         log::info!(limits:? = settings.shared_limits; "settings reloaded");
     }
 
-    /// Applies the list of nodes; older versions than the present one are left alone.
+    /// Applies a version of the list of nodes, unless the one in force is as new.
     pub fn learn_members(&self, version: u64, records: Vec<MemberRecord>, source: &str) {
         let before = self.members.version();
-        let is_news = self.members.replace_records(version, records);
-        self.use_members(is_news, before, source);
+        let has_changed = self.members.replace_records(version, records);
+        self.activate_members(has_changed, before, source);
     }
 
-    /// Applies what another node sent of the list of nodes.
+    /// Applies changes of the list of nodes that another node sent.
     pub(crate) fn learn_member_changes(&self, changes: Changes<MemberRecord>, source: &str) {
         let before = self.members.version();
-        let is_news = self.members.apply_records(changes);
-        self.use_members(is_news, before, source);
+        let has_changed = self.members.apply_records(changes);
+        self.activate_members(has_changed, before, source);
     }
 
-    fn use_members(&self, is_news: bool, before: u64, source: &str) {
-        if is_news {
+    fn activate_members(&self, has_changed: bool, before: u64, source: &str) {
+        if has_changed {
             let (version, nodes) = (self.members.version(), self.members.listed_count());
             log::info!(source, version, before, nodes; "list of nodes in force");
             self.owner.apply(Event::NodeCountChanged(nodes));
-            self.update_reach();
+            self.update_visibility();
         }
     }
 
-    /// Whether the node serves: it knows a catalogue and the upstreams, and is not stopping.
+    /// Whether the node can serve requests: it has a catalogue and a registry, and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         self.views.catalogue().is_some()
             && self.views.registry().version > 0
             && !self.stop.is_stopping()
     }
 
-    /// An id that no other run of this start of the node has.
+    /// Returns a new run id, unique within this incarnation of the node.
     pub fn next_run(&self) -> RunId {
         let number = self.runs_started.get().wrapping_add(1);
         self.runs_started.set(number);
         run_id(self.node_incarnation(), number)
     }
 
-    /// This start of the node, as its runs name it.
+    /// This node's incarnation as it appears in run ids: the low bits of the number drawn at the start.
     pub(crate) fn node_incarnation(&self) -> NodeIncarnation {
         self.incarnation as NodeIncarnation
     }
 
-    /// The first `most` nodes in the order in which they own the services.
+    /// The first `limit` nodes in the order in which they own the services.
     ///
-    /// All services have the same owner: accounts pay for the requests of all of them from one quota, and
-    /// two owners that count apart give out more than the quota.
-    pub(crate) fn ranked_owners(&self, most: usize) -> Vec<NodeName> {
-        self.ranked(OWNERS_KEY, most)
+    /// All services have the same owner, because an account pays for requests of all services from one quota. Two
+    /// owners that count separately would grant more than the quota.
+    pub(crate) fn ranked_owners(&self, limit: usize) -> Vec<NodeName> {
+        self.ranked(OWNERS_KEY, limit)
     }
 
-    fn ranked(&self, key: &'static str, most: usize) -> Vec<NodeName> {
+    fn ranked(&self, key: &'static str, limit: usize) -> Vec<NodeName> {
         let now = self.owner.now();
         let is_leaving = self.stop.is_stopping();
-        self.members.ranked(now, key, is_leaving, most)
+        self.members.ranked(now, key, is_leaving, limit)
     }
 
-    /// Figures of the moment for the metrics page.
+    /// Current values of the gauges on the metrics page.
     pub(crate) fn gauges(&self) -> Vec<(&'static str, f64)> {
         let now = self.owner.now();
         vec![
@@ -351,11 +354,17 @@
             ("catalogue_version", self.views.catalogue_version() as f64),
             (
                 "catalogue_behind_s",
-                self.list_fetches.catalogue.waits_for(now).as_secs_f64(),
+                self.list_fetches
+                    .catalogue
+                    .time_without_progress(now)
+                    .as_secs_f64(),
             ),
             ("registry_version", self.views.registry().version as f64),
             ("members_known", self.members.known_count() as f64),
-            ("members_visible", self.members.mutual_count(now) as f64),
+            (
+                "members_visible",
+                self.members.mutually_visible_count(now) as f64,
+            ),
             ("runs_of_this_entry", self.entry_runs.count() as f64),
             ("requests_waiting_here", self.owner.waiting_count() as f64),
             ("services_known", self.owner.service_count() as f64),
--- a/crates/dragonflystep_edge/src/node/digest.rs
+++ b/crates/dragonflystep_edge/src/node/digest.rs
@@ -1,4 +1,4 @@
-//! What a node tells other nodes of its view, and what it takes from theirs.
+//! Builds the digests that this node sends in gossip exchanges, and applies those of other nodes.
 
 use {
     super::Node,
@@ -11,7 +11,7 @@
 };
 
 impl Node {
-    /// A digest that asks for nothing but an answer.
+    /// A digest without list entries, suspicions and notices; it asks only for an answer.
     pub(crate) fn empty_digest(&self) -> Digest {
         Digest {
             node: self.settings.node.clone(),
@@ -26,10 +26,10 @@
         }
     }
 
-    /// What this node knows, with the changes of lists that `theirs` is missing where they are few.
+    /// Builds a digest for the node that sent `theirs`, with the list changes that it lacks if they are few.
     ///
-    /// A node that is missing more fetches it, once: after a start of all nodes each would be sent the whole registry by all
-    /// that it exchanges views with.
+    /// A node that lacks more fetches it from one node. After a start of all nodes, each would otherwise get the
+    /// whole registry from every node with which it exchanges digests.
     pub(crate) fn digest_for(&self, theirs: &Digest, unavailable: Vec<NodeName>) -> Digest {
         let mut digest = self.empty_digest();
         digest.unavailable = unavailable;
@@ -46,10 +46,11 @@
         digest
     }
 
-    /// What a node is missing that answered `theirs`, to send it unasked.
+    /// Builds a digest with what the node that answered with `theirs` lacks, to be pushed to it.
     ///
-    /// Who knows no other node can fetch nothing; those whose neighbour it is tell it of all.
-    pub(crate) fn digest_to_tell(&self, theirs: &Digest) -> Digest {
+    /// A node that knows no other node has none to fetch from, so nodes whose neighbour it is send it their whole
+    /// list of nodes.
+    pub(crate) fn push_digest(&self, theirs: &Digest) -> Digest {
         let mut digest = self.digest_for(theirs, Vec::new());
         if theirs.members_version == 0 && self.members.neighbours().contains(&theirs.node) {
             let changes = self.members.list().changes_since(0);
@@ -59,38 +60,39 @@
         digest
     }
 
-    /// Whether a node that answered `theirs` is missing something that this one knows.
-    pub(crate) fn knows_more_than(&self, theirs: &Digest) -> bool {
+    /// Whether this node has a newer registry or list of nodes than the one that answered with `theirs`.
+    pub(crate) fn has_newer_lists_than(&self, theirs: &Digest) -> bool {
         self.views.registry_list().announced_version() > theirs.registry_version
             || self.members.list().announced_version() > theirs.members_version
     }
 
-    /// Notes that another node answered an exchange.
-    pub(crate) fn note_exchange(&self) {
-        if self.is_cut_off() {
+    /// Records that another node answered an exchange. If all were silent before, earlier failures are forgotten.
+    pub(crate) fn note_peer_answered(&self) {
+        if self.is_cut_off_from_peers() {
             log::info!("another node answers again after all were silent");
             self.members.forget_failures(self.owner.now());
         }
-        self.exchanged_at.set(self.owner.now());
+        self.peer_answered_at.set(self.owner.now());
     }
 
-    /// Applies the digest of a calling node.
-    pub(crate) fn called_by(&self, theirs: &Digest) {
+    /// Applies the digest of a node that called this one.
+    pub(crate) fn handle_exchange_call(&self, theirs: &Digest) {
         let now = self.owner.now();
-        self.members.heard(now, &theirs.node);
+        self.members.record_contact(now, &theirs.node);
         let is_called_by_all = self.is_called_by_all();
         self.members
-            .accused(now, &theirs.unavailable, is_called_by_all);
+            .apply_caller_suspicions(now, &theirs.unavailable, is_called_by_all);
         self.apply_digest(theirs);
     }
 
-    /// Applies the digest of a node that was called; `is_owner` says whether all nodes call it.
-    pub(crate) fn answered_by(&self, theirs: &Digest, is_owner: bool) {
-        // Who is called by all weighs what callers say itself.
+    /// Applies the digest with which a called node answered. `is_owner` says whether all nodes call that node.
+    pub(crate) fn handle_exchange_answer(&self, theirs: &Digest, is_owner: bool) {
+        // A node that is called by all checks the suspicions of its callers itself and ignores those of other
+        // owners.
         if is_owner && !self.is_called_by_all() {
             let now = self.owner.now();
             let (owner, nodes) = (&theirs.node, &theirs.unavailable);
-            self.members.suspected_by_owner(now, owner, nodes);
+            self.members.apply_owner_suspicions(now, owner, nodes);
         }
         self.apply_digest(theirs);
     }
@@ -98,7 +100,7 @@
     fn apply_digest(&self, theirs: &Digest) {
         self.members.set_leaving(&theirs.node, theirs.is_leaving);
         self.members
-            .set_misses_us(&theirs.node, &theirs.unavailable);
+            .set_reports_us_unavailable(&theirs.node, &theirs.unavailable);
         self.learn_rollouts(&theirs.rollouts, &theirs.node);
         if let Some(changes) = from_json(&theirs.members, "list of nodes", &theirs.node) {
             self.learn_member_changes(changes, &theirs.node);
@@ -109,22 +111,22 @@
     }
 }
 
-/// Changes of a list for another node; empty when they can't be written.
+/// Encodes changes of a list for another node; empty if encoding fails.
 fn to_json<T: ListEntry>(changes: &Changes<T>, list: &'static str) -> Vec<u8> {
     serde_json::to_vec(changes).unwrap_or_else(|error| {
-        log::error!(list, error:%; "changes can't be written for another node");
+        log::error!(list, error:%; "changes of a list can't be encoded for another node");
         Vec::new()
     })
 }
 
-/// Changes of a list that another node sent; none when it sent none, or they are not understood.
+/// Decodes changes of a list that another node sent; `None` if it sent none or they can't be decoded.
 fn from_json<T: ListEntry>(bytes: &[u8], list: &'static str, peer: &str) -> Option<Changes<T>> {
     if bytes.is_empty() {
         return None;
     }
     serde_json::from_slice(bytes)
         .inspect_err(
-            |error| log::warn!(peer, list, error:%; "changes of another node are not understood"),
+            |error| log::warn!(peer, list, error:%; "changes of a list from another node can't be decoded"),
         )
         .ok()
 }
--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -1,15 +1,15 @@
-//! Of whom a node hears: the platform, other nodes, nobody; what it reports of that to its owner's side; and whether it
-//! follows the platform itself.
+//! Tracks whether the platform and other nodes answer, reports the visible nodes to the dispatcher, and decides
+//! whether this node follows the platform's documents itself.
 //!
-//! The loads it answers: hundreds of nodes of which each would ask the platform for each change; a platform that refuses
-//! most nodes and serves the others; nodes that are cut off from all others.
+//! It is designed for three situations: hundreds of nodes, each of which would otherwise ask the platform for every
+//! change; a platform that refuses most nodes but serves the others; and nodes that are cut off from all others.
 
 use {
     super::Node,
     crate::limits::{
-        FOLLOWERS_KEY, HEARD_RECENTLY, OWNERS_KEY, PEERS_SILENT, PLATFORM_FOLLOWERS,
-        PLATFORM_UNHEARD, PLATFORM_UP, PREFERRED_OWNERS, SHORTEST_HEARING, SMALL_SYSTEM_NODES,
-        UNHEARD_FOLLOWERS_FACTOR,
+        EXTRA_FOLLOWERS_FACTOR, FOLLOWERS_KEY, MAX_PEER_SILENCE, MAX_PLATFORM_SILENCE,
+        MIN_CONTACT_WINDOW_SHARE, MIN_PLATFORM_UPTIME, OWNERS_KEY, PLATFORM_FOLLOWERS,
+        PREFERRED_OWNERS, RECENT_CONTACT_WINDOW, SMALL_SYSTEM_NODES,
     },
     dragonflystep_dispatch::{MonotonicTime, NodeName, Visibility},
     std::time::Duration,
@@ -18,31 +18,32 @@
 impl Node {
     /// Whether this node follows the platform's documents itself.
     ///
-    /// In a large system a few nodes and the owners of services do; the others hear what is new when
-    /// they exchange views with the owners, which saves a call a node for each change. Who has not heard
-    /// another node for a while follows the documents too.
+    /// In a large system only a few nodes and the preferred owners do so. The others learn of changes in their
+    /// gossip exchanges with the owners, which saves one platform call per node and change. A node that has not
+    /// heard from another node for a while follows the documents too.
     pub fn follows_platform(&self) -> bool {
         let is_small = self.members.listed_count() <= SMALL_SYSTEM_NODES;
-        if is_small || !self.is_ready() || self.is_cut_off() {
+        if is_small || !self.is_ready() || self.is_cut_off_from_peers() {
             return true;
         }
-        // Followers are ranked by name and size, and the platform may refuse all of them while it serves others; then
-        // nobody would hear which upstreams leave.
-        let followers = if self.platform_silence() > PLATFORM_UNHEARD {
-            PLATFORM_FOLLOWERS * UNHEARD_FOLLOWERS_FACTOR
+        // The followers are the same nodes for as long as they are visible, because names and CPU shares decide the
+        // ranking. The platform may refuse all of them while it serves other nodes. Without more followers, no node
+        // would then learn which upstreams leave.
+        let followers = if self.platform_silence() > MAX_PLATFORM_SILENCE {
+            PLATFORM_FOLLOWERS * EXTRA_FOLLOWERS_FACTOR
         } else {
             PLATFORM_FOLLOWERS
         };
         self.is_among_first(FOLLOWERS_KEY, followers) || self.is_preferred_owner()
     }
 
-    /// Whether other nodes hear from this one whether the platform answers: in a large system, where few follow it,
-    /// the preferred owners, with which all exchange views.
+    /// Whether other nodes learn from this one whether the platform answers. In a large system, where few nodes
+    /// follow the platform, the preferred owners report it, because all nodes exchange digests with them.
     pub fn tells_platform_heard(&self) -> bool {
         self.members.listed_count() > SMALL_SYSTEM_NODES && self.is_preferred_owner()
     }
 
-    /// Nodes that own the services if all are there, with which each node of a large system exchanges views.
+    /// The owners when no node has failed. Each node of a large system exchanges digests with them.
     pub fn first_owners(&self) -> Vec<NodeName> {
         self.members.first_owners()
     }
@@ -56,87 +57,90 @@
         first.contains(&self.settings.node)
     }
 
-    /// Whether all nodes call this one, as far as it sees: the first owners, and who owns the services now.
+    /// Whether all nodes call this one, as far as it knows: it is a first owner or the current owner.
     pub(crate) fn is_called_by_all(&self) -> bool {
-        self.is_owner_for_all(&self.settings.node)
+        self.is_first_or_current_owner(&self.settings.node)
     }
 
-    /// Whether all nodes call another one, as far as this one sees.
-    pub(crate) fn is_owner_for_all(&self, node: &NodeName) -> bool {
+    /// Whether all nodes call the given one, as far as this node knows: it is a first owner or the current owner.
+    pub(crate) fn is_first_or_current_owner(&self, node: &NodeName) -> bool {
         self.members.first_owners().contains(node) || self.ranked_owners(1).contains(node)
     }
 
-    /// Time since the platform answered this node, or one that reported it.
+    /// Time since the platform last answered this node, or another one that reported it.
     pub(crate) fn platform_silence(&self) -> Duration {
         self.owner
             .now()
             .saturating_sub(self.platform_heard_at.get())
     }
 
-    /// Notes that the platform answered somebody at a time.
-    pub(crate) fn note_platform_heard(&self, at: MonotonicTime) {
+    /// Records that the platform answered some node at `at`.
+    pub(crate) fn record_platform_answer(&self, at: MonotonicTime) {
         let before = self.platform_heard_at.get();
-        if at.saturating_sub(before) > PLATFORM_UNHEARD {
+        if at.saturating_sub(before) > MAX_PLATFORM_SILENCE {
             self.platform_up_since.set(at);
         }
         self.platform_heard_at.set(before.max(at));
     }
 
-    /// Notes that another node, which hears the platform now, has heard it without a longer gap since a time.
-    pub(crate) fn note_platform_up(&self, since: MonotonicTime) {
+    /// Records that, according to another node that currently hears from the platform, the platform has been
+    /// answering without a gap since `since`.
+    pub(crate) fn record_platform_uptime(&self, since: MonotonicTime) {
         let known = self.platform_up_since.get();
         self.platform_up_since.set(known.min(since));
     }
 
-    /// Time for which the platform has been answering somebody without a longer gap, as far as this node heard.
+    /// Time for which the platform has been answering some node without a gap above [`MAX_PLATFORM_SILENCE`], as far as
+    /// this node has learned.
     pub(crate) fn platform_up_for(&self) -> Duration {
         self.owner
             .now()
             .saturating_sub(self.platform_up_since.get())
     }
 
-    /// Whether the platform was there for others all the while, though it may not have answered this node.
+    /// Whether the platform was available to other nodes all the time, even if it did not answer this one.
     ///
-    /// What is missing there then was removed; it did not lapse because nobody could write it.
+    /// An entry that is missing there was then removed on purpose; it did not expire because nobody could write it.
     pub fn was_platform_up(&self) -> bool {
-        self.platform_silence() <= PLATFORM_UNHEARD && self.platform_up_for() >= PLATFORM_UP
+        self.platform_silence() <= MAX_PLATFORM_SILENCE
+            && self.platform_up_for() >= MIN_PLATFORM_UPTIME
     }
 
-    /// Counts a call to the platform by its outcome; `has_answered` says whether the platform did what was asked.
+    /// Counts a call to the platform by its outcome. `has_answered` says whether the platform did what was asked.
     pub fn note_platform_call(&self, outcome: &'static str, has_answered: bool) {
         self.metrics.count("platform_calls_total", outcome);
         if has_answered {
             self.platform_answered_at.set(self.owner.now());
-            self.note_platform_heard(self.owner.now());
+            self.record_platform_answer(self.owner.now());
         }
     }
 
-    /// Whether no other node has answered this one for a while.
-    pub fn is_cut_off(&self) -> bool {
-        let silent_for = self.owner.now().saturating_sub(self.exchanged_at.get());
-        self.members.listed_count() > 1 && silent_for > PEERS_SILENT
+    /// Whether no other node has answered this one for [`MAX_PEER_SILENCE`]; false if no other node is listed.
+    pub fn is_cut_off_from_peers(&self) -> bool {
+        let silent_for = self.owner.now().saturating_sub(self.peer_answered_at.get());
+        self.members.listed_count() > 1 && silent_for > MAX_PEER_SILENCE
     }
 
-    /// Whether neither another node nor the platform has answered for a while, so that nobody can tell this node which
-    /// upstreams leave.
+    /// Whether neither another node nor the platform has answered for [`MAX_PEER_SILENCE`], so that this node can't
+    /// learn which upstreams leave.
     pub(crate) fn is_isolated(&self) -> bool {
         let silent_for = self
             .owner
             .now()
             .saturating_sub(self.platform_answered_at.get());
-        silent_for > PEERS_SILENT && self.is_cut_off()
+        silent_for > MAX_PEER_SILENCE && self.is_cut_off_from_peers()
     }
 
-    /// Tells the owner's side how many of the nodes are seen.
-    pub(crate) fn update_reach(&self) {
+    /// Reports to the dispatcher how many nodes are visible.
+    pub(crate) fn update_visibility(&self) {
         self.update_heard();
         let known = self.members.known_count();
-        // Nodes that were not tried count as seen. Where none of those that were tried answers, the others are no
-        // more to be seen: nodes that are each cut off by themselves would count themselves to the majority, and each
-        // give out whole quotas.
-        let sees_others = self.members.has_discovered_peers() && !self.is_cut_off();
+        // Nodes that have not been tried count as visible, unless none of those that were tried answers. Otherwise
+        // nodes that are each cut off from all others would each count themselves to the majority and grant whole
+        // quotas.
+        let sees_others = self.members.has_discovered_peers() && !self.is_cut_off_from_peers();
         let visible = if sees_others {
-            self.members.mutual_count(self.owner.now())
+            self.members.mutually_visible_count(self.owner.now())
         } else {
             1
         };
@@ -150,15 +154,16 @@
         }
     }
 
-    /// Tells the owner's side how many of the nodes were heard lately. What this node sees may be of the time before a cut;
-    /// what it hears is of now.
+    /// Reports to the dispatcher how many nodes have contacted this one recently. Visibility may still date from
+    /// before a network partition; recent contacts do not.
     pub(crate) fn update_heard(&self) {
         let now = self.owner.now();
         let known = self.members.known_count();
-        let heard = self.members.recently_heard_count(now);
-        // A node that has just started has heard a part of those that would call it within that time.
-        let share_of_time = now.as_secs_f64() / HEARD_RECENTLY.as_secs_f64();
-        let expected = heard as f64 / share_of_time.clamp(SHORTEST_HEARING, 1.0);
+        let heard = self.members.recent_contact_count(now);
+        // A node that has just started has heard from only a part of the nodes that call within the full window, so
+        // the count is scaled up.
+        let share_of_time = now.as_secs_f64() / RECENT_CONTACT_WINDOW.as_secs_f64();
+        let expected = heard as f64 / share_of_time.clamp(MIN_CONTACT_WINDOW_SHARE, 1.0);
         let visible = (expected as usize).min(known);
         self.owner.set_heard(Visibility { visible, known });
     }
--- a/crates/dragonflystep_edge/src/node/run.rs
+++ b/crates/dragonflystep_edge/src/node/run.rs
@@ -1,10 +1,10 @@
-//! Putting a node's listeners and tasks to work, until it is told to stop.
+//! Starts the listeners and background tasks of a node and runs them until the node is told to stop.
 
 use {
     super::{Node, NodeError},
     crate::{
         dialect::Dialect,
-        exchange::{exchange_views, watch_reach},
+        exchange::{exchange_views, watch_visibility},
         peer_service::serve_peers,
         platform::Platform,
         rollouts::publish_rollouts,
@@ -21,15 +21,15 @@
     },
 };
 
-/// Time between two looks at idle connections to upstreams.
-const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which idle connections to upstreams are checked.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a node until `stop_requested` is ready and its requests have ended.
+/// Runs a node until `stop_requested` completes and its open requests have ended or the grace period is over.
 ///
 /// Must run inside a [`tokio::task::LocalSet`] on a current-thread runtime.
 ///
 /// # Errors
-/// When an address can't be listened on, or signals can't be received.
+/// If an address can't be listened on, or `stop_requested` fails because signals can't be received.
 pub async fn run_node(
     settings: NodeSettings,
     dialect: Box<dyn Dialect>,
@@ -56,8 +56,8 @@
     spawn_local(node.owner.clone().run());
     spawn_local(node.owner.clone().log_beliefs());
     spawn_local(exchange_views(node.clone()));
-    spawn_local(watch_reach(node.clone()));
-    spawn_local(keep_house(node.clone()));
+    spawn_local(watch_visibility(node.clone()));
+    spawn_local(close_unused_connections(node.clone()));
     spawn_local(publish_rollouts(node.clone(), platform.clone()));
     spawn_local(platform.clone().follow(node.clone()));
     log::info!(ingress:% = node.settings.ingress, incarnation = node.incarnation, is_first_start = node.settings.is_first_start; "node started");
@@ -80,9 +80,9 @@
     }
 }
 
-async fn keep_house(node: Rc<Node>) {
+async fn close_unused_connections(node: Rc<Node>) {
     loop {
-        sleep(HOUSEKEEPING_INTERVAL).await;
+        sleep(CONNECTION_CHECK_INTERVAL).await;
         let registry = node.views.registry();
         node.connections.retain(|address| {
             registry
--- a/crates/dragonflystep_edge/src/peer_service.rs
+++ b/crates/dragonflystep_edge/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this node does for another node that connected.
+//! Handles the connections and calls of other nodes.
 
 use {
     crate::{exchange::exchange_with, list_fetch::fetch_if_newer, node::Node, owner::cancelled},
@@ -14,16 +14,16 @@
     tokio::{task::spawn_local, time::sleep},
 };
 
-/// Wait after the system refused a connection, for example because no file number was free.
+/// Pause after accepting a connection failed, for example because no file descriptor was free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Serves other nodes for as long as the node runs.
+/// Accepts connections of other nodes for as long as the node runs.
 pub(crate) async fn serve_peers(node: Rc<Node>, mut listener: Box<dyn PeerListener>) {
     loop {
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                log::warn!(error:%; "can't accept a connection of another node");
+                log::warn!(error:%; "accepting a connection of another node failed");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -37,10 +37,10 @@
     }
 }
 
-/// One connection of another node, with the places given to it.
+/// A connection of another node, with the runs to which slots were granted on it.
 struct PeerSession {
     node: Rc<Node>,
-    /// The other node, once it has said who it is.
+    /// The calling node; `None` until it has sent its name.
     peer: RefCell<Option<NodeName>>,
     runs: Rc<RefCell<HashMap<RunId, ServiceName>>>,
 }
@@ -52,11 +52,11 @@
         }
     }
 
-    /// Notes that the other node asks this one for places, which shows as well as an exchange of views that it is there.
-    fn note_asked(&self) {
+    /// Records that the other node requests a slot, which shows as well as a gossip exchange that it is running.
+    fn note_slot_request(&self) {
         let (node, peer) = (&self.node, self.peer.borrow());
         if let Some(peer) = &*peer {
-            node.members.heard(node.owner.now(), peer);
+            node.members.record_contact(node.owner.now(), peer);
         }
         if !node.owner.hears_majority() {
             node.update_heard();
@@ -66,7 +66,7 @@
 
 impl PeerHandler for PeerSession {
     fn request_slot(&self, request: SlotRequest) -> SlotDecisionFuture {
-        self.note_asked();
+        self.note_slot_request();
         let (run, service) = (request.run, request.service.clone());
         let runs = self.runs.clone();
         let decision = self.node.owner.clone().ask(request);
@@ -112,10 +112,11 @@
 
     fn exchange(&self, digest: Digest) -> Digest {
         self.note_peer(&digest.node);
-        self.node.called_by(&digest);
+        self.node.handle_exchange_call(&digest);
         fetch_if_newer(&self.node, &digest);
         if self.node.members.has_failed(&digest.node) {
-            // It runs; whether it can be called is tried at once, so that both see each other again.
+            // The caller is running. Whether it can be reached is tried at once, so that both nodes become visible
+            // to each other.
             spawn_local(exchange_with(self.node.clone(), digest.node.clone()));
         }
         let unavailable = self.node.members.all_unavailable(self.node.owner.now());
@@ -125,7 +126,7 @@
 
 impl Drop for PeerSession {
     fn drop(&mut self) {
-        // The node stopped, or the network lost the connection; if it runs on it tells of its runs again.
+        // The node stopped or the connection was lost. A node that is still running reports its runs again.
         for (run, service) in self.runs.borrow_mut().drain() {
             self.node.owner.ended(cancelled(service, run));
         }
--- a/crates/dragonflystep_edge/src/platform.rs
+++ b/crates/dragonflystep_edge/src/platform.rs
@@ -1,4 +1,4 @@
-//! What a node needs of the platform that it runs on.
+//! The interface between a node and the adapter of the platform on which it runs.
 
 use {
     crate::node::Node,
@@ -6,21 +6,21 @@
     std::{future::Future, pin::Pin, rc::Rc},
 };
 
-/// A call to the platform.
+/// A call to the platform's adapter; it reports results to the node instead of returning them.
 pub type PlatformFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The platform behind an adapter.
+/// An adapter of the platform.
 ///
-/// The adapter hands what it learns to the node ([`Node::learn_catalogue`], [`Node::learn_registry`],
-/// [`Node::learn_members`]) and lists the node for others.
+/// It passes documents to the node ([`Node::learn_catalogue`], [`Node::learn_registry`], [`Node::learn_members`])
+/// and keeps the node's entry in the platform's list of nodes.
 pub trait Platform {
     /// Follows the platform's documents for as long as the node runs.
     fn follow(self: Rc<Self>, node: Rc<Node>) -> PlatformFuture;
 
-    /// Writes how a roll-out stands, so that the operator sees it and later owners go on with it; returns once it is
-    /// written, or something else was decided.
+    /// Writes a step of a roll-out, so that the operator sees the phase and later owners continue from it.
+    /// Completes once the step is written or is no longer current.
     fn publish_rollout(self: Rc<Self>, node: Rc<Node>, step: RolloutStep) -> PlatformFuture;
 
-    /// Takes the node off the platform's list before it stops.
+    /// Removes the node from the platform's list before it stops.
     fn withdraw(self: Rc<Self>, node: Rc<Node>) -> PlatformFuture;
 }
--- a/crates/dragonflystep_edge/src/rollouts.rs
+++ b/crates/dragonflystep_edge/src/rollouts.rs
@@ -1,8 +1,8 @@
-//! Roll-outs as a node knows them: the operators' orders and how they stand, from the platform and from other nodes.
+//! The roll-outs that a node knows: the operators' orders and their phases, from the platform and from other nodes.
 //!
-//! Whoever becomes the owner of the services has to know at once which versions get requests. So nodes tell one another of
-//! all orders with each exchange of views, and merge what they hear: the later order counts, and of one order what was
-//! decided.
+//! A node that becomes the owner of the services must know at once which versions get requests. Nodes therefore
+//! send one another all orders in each gossip exchange and merge what they receive: a later order replaces an
+//! earlier one, and a decided phase replaces [`RolloutPhase::Serving`].
 
 use {
     crate::{list_version::is_same_order, node::Node, platform::Platform},
@@ -19,51 +19,52 @@
     tokio::{sync::Notify, task::spawn_local},
 };
 
-/// Orders that are known at most; one for each service.
-const MOST_ORDERS: usize = 256;
+/// Maximum number of known orders; each service has at most one.
+const MAX_ORDERS: usize = 256;
 
-/// A roll-out as nodes and the platform tell it.
+/// An order to roll out a version of a service, with its current phase, as nodes and the platform exchange it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutNews {
-    /// The service.
+    /// The service whose upstreams get the new version.
     pub service: ServiceName,
-    /// The version that its requests are to go to.
+    /// The version that the service's requests are to move to.
     pub to: UpstreamVersion,
-    /// Tells orders apart; a later one has a higher number, by era and then by transaction of the platform's store.
+    /// Identifies the order. A later order has a higher number, by the era of the platform's store and then by
+    /// transaction.
     pub number: u64,
     /// Time until the order has to be decided.
     pub left: Duration,
-    /// How it stands.
+    /// Whether the roll-out is in progress or how it was decided.
     pub phase: RolloutPhase,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownRollout {
     order: RolloutOrder,
     phase: RolloutPhase,
 }
 
-/// The roll-outs that a node knows of.
+/// The roll-outs that a node knows, by service.
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    known: RefCell<BTreeMap<ServiceName, Known>>,
-    /// Steps of this node as an owner that are not written yet.
-    steps: RefCell<VecDeque<RolloutStep>>,
-    step_taken: Notify,
+    known: RefCell<BTreeMap<ServiceName, KnownRollout>>,
+    /// Steps that this node decided as the owner and that have not been handed to the platform yet.
+    pending_steps: RefCell<VecDeque<RolloutStep>>,
+    step_added: Notify,
 }
 
-/// What a piece of news changes.
+/// The effect of merging a received roll-out.
 #[derive(Debug, PartialEq, Eq)]
-enum Merged {
-    Nothing,
-    /// The order, or its end.
+enum MergeEffect {
+    Unchanged,
+    /// The order is new, or replaced an earlier one.
     Order,
-    /// Only how it stands.
+    /// Only the phase changed.
     Phase,
 }
 
 impl Rollouts {
-    fn merge(&self, now: MonotonicTime, news: &RolloutNews) -> Merged {
+    fn merge(&self, now: MonotonicTime, news: &RolloutNews) -> MergeEffect {
         let mut known = self.known.borrow_mut();
         let order = RolloutOrder {
             service: news.service.clone(),
@@ -71,47 +72,47 @@
             number: news.number,
             ends_at: now + news.left,
         };
-        let is_full = known.len() >= MOST_ORDERS;
+        let is_full = known.len() >= MAX_ORDERS;
         let Some(before) = known.get_mut(&news.service) else {
             if is_full {
-                log::error!(service:% = news.service; "too many roll-outs; one is not followed");
-                return Merged::Nothing;
+                log::error!(service:% = news.service; "too many roll-outs; ignoring a new one");
+                return MergeEffect::Unchanged;
             }
             let phase = news.phase;
-            known.insert(news.service.clone(), Known { order, phase });
-            return Merged::Order;
+            known.insert(news.service.clone(), KnownRollout { order, phase });
+            return MergeEffect::Order;
         };
         if before.order.to == news.to && is_same_order(before.order.number, news.number) {
             if before.phase == news.phase || news.phase == RolloutPhase::Serving {
-                return Merged::Nothing;
+                return MergeEffect::Unchanged;
             }
             before.phase = news.phase;
-            return Merged::Phase;
+            return MergeEffect::Phase;
         }
         if news.number < before.order.number {
-            return Merged::Nothing;
+            return MergeEffect::Unchanged;
         }
-        *before = Known {
+        *before = KnownRollout {
             order,
             phase: news.phase,
         };
-        Merged::Order
+        MergeEffect::Order
     }
 
-    /// Waits for a step that has to be written.
+    /// Waits for a step that is to be written to the platform.
     pub(crate) async fn next_step(&self) -> RolloutStep {
         loop {
-            if let Some(step) = self.steps.borrow_mut().pop_front() {
+            if let Some(step) = self.pending_steps.borrow_mut().pop_front() {
                 return step;
             }
-            self.step_taken.notified().await;
+            self.step_added.notified().await;
         }
     }
 
     pub(crate) fn push_steps(&self, steps: Vec<RolloutStep>) {
         if !steps.is_empty() {
-            self.steps.borrow_mut().extend(steps);
-            self.step_taken.notify_one();
+            self.pending_steps.borrow_mut().extend(steps);
+            self.step_added.notify_one();
         }
     }
 
@@ -129,11 +130,11 @@
 }
 
 impl Node {
-    /// Applies a roll-out that the platform or another node tells of.
+    /// Applies a roll-out that the platform or another node reported. `source` names its origin in the log.
     pub fn learn_rollout(&self, news: &RolloutNews, source: &str) {
         let now = self.owner.now();
         let merged = self.rollouts.merge(now, news);
-        if merged == Merged::Nothing {
+        if merged == MergeEffect::Unchanged {
             return;
         }
         let known = self.rollouts.known.borrow().get(&news.service).cloned();
@@ -142,14 +143,14 @@
         };
         log::info!(source, service:% = news.service, to:% = news.to, number = known.order.number, phase:? = known.phase, left_ms = news.left.as_millis() as u64; "roll-out known");
         let number = known.order.number;
-        if merged == Merged::Order {
+        if merged == MergeEffect::Order {
             self.owner.apply(Event::RolloutOrdered(known.order));
         }
         let settled = Event::RolloutSettled(news.service.clone(), number, known.phase);
         self.owner.apply(settled);
     }
 
-    /// Records that the operator withdrew the order of a service.
+    /// Removes the order of a service that the operator withdrew.
     pub fn learn_rollout_withdrawn(&self, service: &ServiceName) {
         if self.rollouts.known.borrow_mut().remove(service).is_some() {
             log::info!(service:%; "roll-out withdrawn");
@@ -158,12 +159,13 @@
         }
     }
 
-    /// Roll-outs that this node knows of.
+    /// The roll-outs that this node knows, as of now.
     pub fn rollouts(&self) -> Vec<RolloutNews> {
         self.rollouts.all(self.owner.now())
     }
 
-    /// Whether a step of an order is still to be written: nothing else was decided of it, and no later order is known.
+    /// Whether a step is still to be written: the known order of the service is for the same version, and no other
+    /// phase was decided.
     pub fn is_step_current(&self, step: &RolloutStep) -> bool {
         let known = self.rollouts.known.borrow();
         let known = known.get(&step.order.service);
@@ -173,19 +175,19 @@
         })
     }
 
-    /// Roll-outs to tell another node; empty when there are none.
+    /// Encodes the known roll-outs for another node; empty if there are none.
     pub(crate) fn encoded_rollouts(&self) -> Vec<u8> {
         let all = self.rollouts();
         if all.is_empty() {
             return Vec::new();
         }
         serde_json::to_vec(&all).unwrap_or_else(|error| {
-            log::error!(error:%; "roll-outs can't be written for another node");
+            log::error!(error:%; "roll-outs can't be encoded for another node");
             Vec::new()
         })
     }
 
-    /// Applies the roll-outs that another node sent.
+    /// Decodes and applies the roll-outs that another node sent.
     pub(crate) fn learn_rollouts(&self, bytes: &[u8], peer: &str) {
         if bytes.is_empty() {
             return;
@@ -197,13 +199,13 @@
                 }
             }
             Err(error) => {
-                log::warn!(peer, error:%; "roll-outs of another node are not understood")
+                log::warn!(peer, error:%; "roll-outs from another node can't be decoded")
             }
         }
     }
 }
 
-/// Has the platform told of the steps that this node takes with roll-outs, for as long as the node runs.
+/// Hands the steps that this node decides to the platform, for as long as the node runs.
 pub(crate) async fn publish_rollouts(node: Rc<Node>, platform: Rc<dyn Platform>) {
     loop {
         let step = node.rollouts.next_step().await;
--- a/crates/dragonflystep_edge/src/settings.rs
+++ b/crates/dragonflystep_edge/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, in the product's own words.
+//! Settings of a node, independent of the format of the settings file.
 
 use {
     dragonflystep_dispatch::{DataCentreName, NodeName, SharedLimits},
@@ -6,52 +6,52 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Settings of a node.
+/// Everything that a node is configured with.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Name of the node, unique within the system.
     pub node: NodeName,
-    /// Where it runs.
+    /// Data centre in which the node runs.
     pub data_centre: DataCentreName,
-    /// Where callers connect.
+    /// Listening address for callers' requests.
     pub ingress: SocketAddr,
-    /// Where the platform asks whether the node is ready.
+    /// Listening address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Where callers ask for addresses.
+    /// Listening address of the directory, where callers get the addresses of nodes.
     pub directory: SocketAddr,
-    /// Where other nodes connect.
+    /// Listening address for other nodes.
     pub peers: SocketAddr,
-    /// Where other nodes are told to connect; differs from `peers` behind a relay.
+    /// Address at which other nodes are to connect; differs from `peers` if there is a relay in between.
     pub peers_advertised: SocketAddr,
-    /// Where metrics are served; none serves none.
+    /// Listening address of the metrics page; `None` to serve no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Share of a core; a node with more owns more.
+    /// CPU share as a fraction of a core. A node with a larger share ranks higher as an owner.
     pub cpu_share: f64,
-    /// Whether the whole system starts for the first time, so that no account can have spent anything yet.
+    /// Whether the whole system starts for the first time, so that no account can have used anything yet.
     pub is_first_start: bool,
-    /// Limits that hold for all nodes together.
+    /// Limits that apply to all nodes together.
     pub shared_limits: SharedLimits,
-    /// Time between the signal to stop and the end by force.
+    /// Time between the stop signal and the moment at which the node is killed.
     pub stop_grace: Duration,
     /// How long callers may keep a list of addresses.
     pub address_lifetime: Duration,
-    /// Connections of callers at most.
+    /// Maximum number of open connections from callers.
     pub max_client_connections: usize,
-    /// Seed of the node's random waits; none draws one.
+    /// Seed of the random numbers that spread waiting times and form run ids; `None` to draw one.
     pub seed: Option<u64>,
 }
 
-/// A node as others find it, kept by the platform.
+/// A node's entry in the list of nodes, which the platform's table stores.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name.
+    /// Name of the node, which identifies the entry.
     pub node: NodeName,
-    /// Where it runs.
+    /// Data centre in which the node runs.
     pub data_centre: DataCentreName,
-    /// Where callers connect, as IP:PORT.
+    /// Address for callers, as IP:PORT.
     pub ingress: String,
-    /// Where other nodes connect, as IP:PORT.
+    /// Address for other nodes, as IP:PORT.
     pub peers: String,
-    /// Share of a core.
+    /// CPU share as a fraction of a core, from which the node's weight as an owner is computed.
     pub cpu_share: f64,
 }
--- a/crates/dragonflystep_edge/src/settings_file.rs
+++ b/crates/dragonflystep_edge/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of a node: JSON, checked, with the path of what is wrong.
+//! Reads and validates the JSON settings file of a node. Errors name the path of the wrong field.
 
 use {
     crate::settings::NodeSettings,
@@ -7,39 +7,39 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time that callers keep a list of addresses, if operators permit that long. Short, because a list names
-/// nodes that may stop at any moment; a call for it costs a node far less than a request.
-const ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
+/// How long callers keep a list of addresses, if the operator's limit permits it. It is short because the listed
+/// nodes may stop at any moment, and fetching the list costs a node far less than a request.
+const MAX_ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Share of a service's requests that a bad version may get where operators state none; the usual first step of a
-/// progressive delivery.
-const EXPOSED_SHARE: f64 = 0.05;
+/// Default share of a service's requests that a bad version may get; the usual first step of a progressive
+/// delivery.
+const DEFAULT_EXPOSED_SHARE: f64 = 0.05;
 
-/// Share of the descriptors that callers' connections may use; the rest is for upstreams and nodes.
+/// Share of the file descriptors that callers' connections may use. The rest is for upstreams and other nodes.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.5;
 
-/// Why a settings file is refused.
+/// Why a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not JSON, or a field is missing or of the wrong type.
+    /// The text is not JSON, or a field is missing or of the wrong type.
     #[error("settings: {path}: {message}")]
     Parse {
-        /// The field.
+        /// Path of the field.
         path: String,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         message: String,
     },
-    /// A value makes no sense.
+    /// A value is out of range.
     #[error("settings: {field}: {message}")]
     Value {
-        /// The field.
+        /// Path of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// The permitted range.
         message: &'static str,
     },
 }
 
-/// The settings file as it is written.
+/// The settings file as operators write it; the names of the fields are part of its format.
 #[derive(Clone, Debug, Deserialize)]
 struct SettingsFile {
     node: NodeName,
@@ -51,13 +51,13 @@
     address_lifetime_limit_s: f64,
     retries: Retries,
     quotas: Quotas,
-    /// Absent where operators order no roll-outs.
+    /// May be absent if operators order no roll-outs.
     #[serde(default)]
     rollouts: Rollouts,
     /// Whether the whole system starts for the first time.
     #[serde(default)]
     first_start: bool,
-    /// Read by the platform's adapter.
+    /// Passed on to the adapter of the platform, which reads it.
     #[serde(default)]
     platform: serde_json::Value,
 }
@@ -68,7 +68,7 @@
     readiness: SocketAddr,
     directory: SocketAddr,
     peers: SocketAddr,
-    /// Where other nodes reach this one, if not at `peers`; for a relay between them.
+    /// Address at which other nodes reach this one, if it is not `peers`, as with a relay between them.
     peers_advertised: Option<SocketAddr>,
     metrics: Option<SocketAddr>,
 }
@@ -87,7 +87,7 @@
     tolerated_units: f64,
 }
 
-/// How many requests a version may get that turns out to be bad.
+/// How many requests a version may get before it is found to be bad.
 #[derive(Clone, Debug, Deserialize)]
 struct Rollouts {
     exposed_share: f64,
@@ -97,16 +97,16 @@
 impl Default for Rollouts {
     fn default() -> Self {
         Self {
-            exposed_share: EXPOSED_SHARE,
+            exposed_share: DEFAULT_EXPOSED_SHARE,
             exposed_slack: 0.0,
         }
     }
 }
 
-/// Reads the settings of a node, and the part that belongs to the platform's adapter.
+/// Reads the settings of a node. The second value is the part for the adapter of the platform.
 ///
 /// # Errors
-/// When the text is not a settings file; the error names the field.
+/// If the text is not a valid settings file. The error names the field.
 ///
 /// # Examples
 /// ```
@@ -132,7 +132,7 @@
             path: error.path().to_string(),
             message: error.into_inner().to_string(),
         })?;
-    check(&file)?;
+    validate(&file)?;
     let settings = NodeSettings {
         node: file.node,
         data_centre: file.data_centre,
@@ -159,7 +159,7 @@
             },
         },
         stop_grace: Duration::from_secs_f64(file.stop_grace_s),
-        address_lifetime: ADDRESS_LIFETIME
+        address_lifetime: MAX_ADDRESS_LIFETIME
             .min(Duration::from_secs_f64(file.address_lifetime_limit_s)),
         max_client_connections: (file.max_descriptors as f64 * CLIENT_DESCRIPTOR_SHARE) as usize,
         seed: None,
@@ -167,9 +167,9 @@
     Ok((settings, file.platform))
 }
 
-fn check(file: &SettingsFile) -> Result<(), SettingsError> {
-    let is_time = |seconds: f64| (0.0..=1e6).contains(&seconds);
-    let faults = [
+fn validate(file: &SettingsFile) -> Result<(), SettingsError> {
+    let is_duration = |seconds: f64| (0.0..=1e6).contains(&seconds);
+    let checks = [
         (file.node.is_empty(), "node", "must not be empty"),
         (
             file.cpu_share <= 0.0 || !file.cpu_share.is_finite(),
@@ -182,14 +182,14 @@
             "must be 64 or more",
         ),
         (
-            !is_time(file.stop_grace_s),
+            !is_duration(file.stop_grace_s),
             "stop_grace_s",
-            "must be a time in seconds",
+            "must be 0 to 1000000 seconds",
         ),
         (
-            !is_time(file.address_lifetime_limit_s),
+            !is_duration(file.address_lifetime_limit_s),
             "address_lifetime_limit_s",
-            "must be a time in seconds",
+            "must be 0 to 1000000 seconds",
         ),
         (
             !(0.0..=100.0).contains(&file.retries.ratio),
@@ -202,9 +202,9 @@
             "must be 0 or more",
         ),
         (
-            !is_time(file.quotas.window_s),
+            !is_duration(file.quotas.window_s),
             "quotas.window_s",
-            "must be a time in seconds",
+            "must be 0 to 1000000 seconds",
         ),
         (
             !(0.0..=100.0).contains(&file.quotas.tolerated_share),
@@ -227,13 +227,13 @@
             "must be 0 or more",
         ),
         (
-            !is_time(file.retries.window_s),
+            !is_duration(file.retries.window_s),
             "retries.window_s",
-            "must be a time in seconds",
+            "must be 0 to 1000000 seconds",
         ),
     ];
-    for (is_wrong, field, message) in faults {
-        if is_wrong {
+    for (is_invalid, field, message) in checks {
+        if is_invalid {
             return Err(SettingsError::Value { field, message });
         }
     }
--- a/crates/dragonflystep_edge/src/stop.rs
+++ b/crates/dragonflystep_edge/src/stop.rs
@@ -1,9 +1,10 @@
-//! Stopping: leave the lists first, serve those who could not know, let requests end, then exit.
+//! Graceful shutdown: the node announces that it is leaving, serves callers that have not learned of it yet, waits
+//! until open requests have ended, and exits.
 
 use {
     crate::{
-        exchange::tell_neighbours,
-        limits::{STOP_MARGIN, STOP_SERVES_NEW},
+        exchange::notify_partners,
+        limits::{STOP_ACCEPT_TIME, STOP_MARGIN},
         node::{Node, NodeError},
         platform::Platform,
     },
@@ -20,10 +21,10 @@
     },
 };
 
-/// Time between two looks at requests that have not ended.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the open requests are checked during a stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the node is stopping, and what it still serves.
+/// Whether and since when the node is stopping, and how many requests are open.
 pub(crate) struct StopSignal {
     since: Cell<Option<Instant>>,
     open_requests: Cell<usize>,
@@ -41,23 +42,23 @@
 }
 
 impl StopSignal {
-    /// Whether the node was asked to stop.
+    /// Whether the node was told to stop.
     pub(crate) fn is_stopping(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// Whether new requests are refused, since the rest of the grace period may be too short for them.
+    /// Whether new requests are refused, because the rest of the grace period may be too short for them.
     pub(crate) fn refuses_new(&self) -> bool {
         let since = self.since.get();
-        since.is_some_and(|since| since.elapsed() > STOP_SERVES_NEW)
+        since.is_some_and(|since| since.elapsed() > STOP_ACCEPT_TIME)
     }
 
-    /// Changes to true when connections are to be closed after their answer.
+    /// A receiver that changes to true when connections are to be closed after their current answer.
     pub(crate) fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// Counts a request as open until the returned value is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub(crate) fn open_request(node: &Rc<Node>) -> OpenRequest {
         let open = &node.stop.open_requests;
         open.set(open.get() + 1);
@@ -65,7 +66,7 @@
     }
 }
 
-/// A request that has no final answer yet.
+/// Guard for a request that has no final answer yet.
 pub(crate) struct OpenRequest(Rc<Node>);
 
 impl Drop for OpenRequest {
@@ -75,10 +76,10 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT; SIGHUP is noted.
+/// Waits for SIGTERM or SIGINT. SIGHUP is only logged.
 ///
 /// # Errors
-/// When signals can't be received.
+/// If a signal handler can't be installed.
 pub async fn stop_signal() -> Result<(), NodeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(NodeError::Signals)?;
@@ -87,25 +88,26 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = hangup.recv() => log::info!("reload asked for; the settings file is read within a second"),
+            _ = hangup.recv() => log::info!("reload requested; the settings file will be read within a second"),
         }
     }
 }
 
-/// Leaves the lists and waits for the end of the node's requests.
+/// Announces that the node is leaving and waits until its open requests have ended or the grace period is nearly
+/// over.
 pub(crate) async fn stop(node: &Rc<Node>, platform: Rc<dyn Platform>) {
     let since = Instant::now();
     node.stop.since.set(Some(since));
     log::info!(open_requests = node.stop.open_requests.get(); "node is stopping");
-    tell_neighbours(node);
+    notify_partners(node);
     spawn_local(platform.withdraw(node.clone()));
-    sleep(STOP_SERVES_NEW).await;
+    sleep(STOP_ACCEPT_TIME).await;
     node.stop.closing.send_replace(true);
-    let last = node.stop_grace.get().saturating_sub(STOP_MARGIN);
-    while node.stop.open_requests.get() > 0 && since.elapsed() < last {
-        sleep(LOOK_INTERVAL).await;
+    let wait_limit = node.stop_grace.get().saturating_sub(STOP_MARGIN);
+    while node.stop.open_requests.get() > 0 && since.elapsed() < wait_limit {
+        sleep(POLL_INTERVAL).await;
     }
     log::info!(open_requests = node.stop.open_requests.get(); "node stops now");
-    // Last answers are written out, and connections are closed with notice.
-    sleep(LOOK_INTERVAL).await;
+    // Leaves time to write the last answers and to close connections properly.
+    sleep(POLL_INTERVAL).await;
 }
--- a/crates/dragonflystep_edge/src/upstream_health.rs
+++ b/crates/dragonflystep_edge/src/upstream_health.rs
@@ -1,12 +1,12 @@
-//! Asking an upstream itself whether it takes requests, when nobody else can tell.
+//! Asks an upstream whether it takes requests when neither the platform nor another node can tell.
 //!
-//! The load it answers: a node that is cut off from all others while the platform's store refuses it, or is the last
-//! one left while the store is away. It can't tell which. In the first state the registry that it knows may name upstreams
-//! that have begun to leave, in the second it has to serve.
+//! It is designed for two situations that an isolated node can't tell apart: it is cut off from all others while
+//! the platform's store refuses it, or it is the last node left while the store is unavailable. In the first, its
+//! registry may list upstreams that have begun to leave. In the second, it has to serve requests.
 
 use {
     crate::{
-        limits::{UPSTREAM_HEALTH_HOLDS, UPSTREAM_HEALTH_TIMEOUT},
+        limits::{UPSTREAM_HEALTH_LIFETIME, UPSTREAM_HEALTH_TIMEOUT},
         node::Node,
         upstream_connections::SendError,
         upstream_notices::ObservedAnswer,
@@ -19,21 +19,21 @@
     tokio::time::{Instant, timeout},
 };
 
-/// Why an upstream did not say whether it takes requests.
+/// Why an upstream did not answer whether it takes requests.
 #[derive(Debug, thiserror::Error)]
 enum HealthError {
-    /// The service's health path is no path.
-    #[error("the health path is no path: {0}")]
+    /// The service's health path is not a valid URI.
+    #[error("the health path is not a valid URI: {0}")]
     Path(#[from] InvalidUri),
     /// The upstream can't be reached, or the connection broke.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// The answer broke off.
+    /// The connection broke before the answer was complete.
     #[error("the answer broke off: {0}")]
     Body(#[from] hyper::Error),
 }
 
-/// What upstreams said lately.
+/// The recent health answers of upstreams, each valid for [`UPSTREAM_HEALTH_LIFETIME`].
 #[derive(Default)]
 pub(crate) struct UpstreamHealth {
     answers: RefCell<HashMap<UpstreamId, HealthAnswer>>,
@@ -46,14 +46,14 @@
 }
 
 impl UpstreamHealth {
-    /// What an upstream said, if that was lately.
-    fn known(&self, now: MonotonicTime, upstream: &UpstreamId) -> Option<bool> {
+    /// The last health answer of an upstream; `None` if it is absent or no longer valid.
+    fn recent_answer(&self, now: MonotonicTime, upstream: &UpstreamId) -> Option<bool> {
         let mut answers = self.answers.borrow_mut();
-        answers.retain(|_, answer| now.saturating_sub(answer.at) < UPSTREAM_HEALTH_HOLDS);
+        answers.retain(|_, answer| now.saturating_sub(answer.at) < UPSTREAM_HEALTH_LIFETIME);
         answers.get(upstream).map(|answer| answer.takes_requests)
     }
 
-    fn note(&self, now: MonotonicTime, upstream: &UpstreamId, takes_requests: bool) {
+    fn record(&self, now: MonotonicTime, upstream: &UpstreamId, takes_requests: bool) {
         let answer = HealthAnswer {
             at: now,
             takes_requests,
@@ -62,10 +62,10 @@
     }
 }
 
-/// Whether a request may go to the upstream of a place: always while this node hears another one or the platform,
-/// else when the upstream says that it takes requests.
+/// Whether a request may be sent to the upstream of a granted slot. It may if this node hears from another node or
+/// the platform, if the service has no health path, or if the upstream answers that it takes requests.
 ///
-/// An isolated node is not informed of upstreams that leave.
+/// An isolated node does not learn of upstreams that leave.
 pub(crate) async fn confirm_upstream(
     node: &Rc<Node>,
     service: &ServiceName,
@@ -79,7 +79,7 @@
     };
     if let Some(takes_requests) = node
         .upstream_health
-        .known(node.owner.now(), &grant.upstream)
+        .recent_answer(node.owner.now(), &grant.upstream)
     {
         return takes_requests;
     }
@@ -91,14 +91,14 @@
     let takes_requests = match asked {
         Ok(Ok(takes_requests)) => takes_requests,
         Ok(Err(error)) => {
-            log::info!(upstream:% = grant.upstream, error:%; "an upstream did not say whether it takes requests");
+            log::info!(upstream:% = grant.upstream, error:%; "health check of an upstream failed");
             false
         }
         Err(_) => false,
     };
     let now = node.owner.now();
     node.upstream_health
-        .note(now, &grant.upstream, takes_requests);
+        .record(now, &grant.upstream, takes_requests);
     node.metrics.count(
         "upstream_health_asked_total",
         if takes_requests { "takes" } else { "refuses" },
@@ -106,7 +106,7 @@
     takes_requests
 }
 
-/// Where upstreams of a service say whether they take requests; none when they do not say.
+/// The path at which the upstreams of a service answer health checks; `None` if they have none.
 fn health_path(node: &Node, service: &ServiceName) -> Option<String> {
     let table = node.views.catalogue()?;
     let path = &table.service(service)?.health_path;
--- a/crates/dragonflystep_edge/src/upstream_notices.rs
+++ b/crates/dragonflystep_edge/src/upstream_notices.rs
@@ -1,6 +1,7 @@
-//! What upstreams say of themselves in the heads of their answers, on its way to those who place requests there.
+//! Reads the notices in the heads of upstreams' answers and passes them to the dispatcher and to other nodes.
 //!
-//! Each node knows what it read itself and what other nodes told it, since any of them may own the services next.
+//! Each node keeps both the notices that it read and those that other nodes sent, since any node may become the
+//! owner of the services.
 
 use {
     crate::{
@@ -11,14 +12,14 @@
     std::time::Duration,
 };
 
-/// Source of what this node read itself.
+/// Source, in the log, of notices that this node read from an answer.
 const OWN_ANSWER: &str = "answer";
 
-/// An answer of an upstream.
+/// The head of an upstream's answer, with the request that it belongs to.
 pub(crate) struct ObservedAnswer<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) upstream: &'a UpstreamId,
-    /// The request that was answered; empty for a question of the node's own.
+    /// Id of the answered request; empty for a health check by this node.
     pub(crate) request_id: &'a str,
     pub(crate) facts: &'a AnswerFacts,
     /// Time since the request was sent.
@@ -26,7 +27,7 @@
 }
 
 impl Node {
-    /// Applies what an answer says of its upstream; returns what the owner of the service has to be told.
+    /// Applies the notices in an answer and returns them, so that they can be sent to the owner of the service.
     pub(crate) fn observe_notices(&self, answer: &ObservedAnswer<'_>) -> Vec<UpstreamNotice> {
         let notices: Vec<_> = self.read_notices(answer).collect();
         for notice in &notices {
@@ -35,7 +36,7 @@
         notices
     }
 
-    /// Applies what another node was told by upstreams.
+    /// Applies notices that another node received from upstreams.
     pub(crate) fn learn_notices(&self, notices: Vec<UpstreamNotice>, source: &str) {
         for notice in notices {
             self.apply_notice(&notice, source, "");
@@ -46,7 +47,7 @@
         let statements = [
             self.read_rate_limit(answer),
             self.read_leaving(answer),
-            self.read_rest(answer),
+            self.read_back_off(answer),
         ];
         statements
             .into_iter()
@@ -72,11 +73,12 @@
             }
             Stated::Absent => {
                 self.owner.rate_limit(answer.upstream)?;
-                // Who spoils or refuses a request may leave out what it would state otherwise.
+                // An answer that is not successful or not signed may lack a rate limit that the upstream otherwise
+                // states.
                 if !answer.facts.is_success || !answer.facts.is_signed {
                     return None;
                 }
-                // The answer may have been made at any moment since the request was sent.
+                // The upstream may have made the answer at any moment since the request was sent.
                 Some((NoticeKind::RateUnlimited, answer.sent_ago))
             }
         }
@@ -101,7 +103,7 @@
         }
     }
 
-    fn read_rest(&self, answer: &ObservedAnswer<'_>) -> Option<(NoticeKind, Duration)> {
+    fn read_back_off(&self, answer: &ObservedAnswer<'_>) -> Option<(NoticeKind, Duration)> {
         match &answer.facts.rest {
             Stated::Value(duration) => {
                 self.metrics.count("upstream_notices_total", "rest");
--- a/crates/dragonflystep_edge/src/versioned_list.rs
+++ b/crates/dragonflystep_edge/src/versioned_list.rs
@@ -1,7 +1,7 @@
-//! A list with versions that nodes pass on to one another, by its changes where that is enough.
+//! A versioned list that nodes send to one another, as changes where those are enough.
 //!
-//! The load it answers: a registry of thousands of upstreams of which a few change each second. Passed on whole, it would
-//! fill the links of the nodes that pass it on.
+//! It is designed for a registry of thousands of upstreams of which a few change each second. Sent whole, the
+//! registry would fill the links between the nodes.
 
 use {
     crate::list_version::supersedes,
@@ -14,65 +14,67 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Removed entries that are remembered; who is behind them all gets the whole list.
-const MOST_REMOVED: usize = 1_024;
+/// Maximum number of removed keys that are remembered. A node whose version is older than a forgotten removal gets
+/// the whole list.
+const MAX_TOMBSTONES: usize = 1_024;
 
-/// Effort of the compression; the smallest, which shrinks a catalogue about tenfold.
+/// Level of the zstd compression; the lowest, which shrinks a catalogue about tenfold.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// Longest list that is taken from another node, in bytes; some 100,000 routes.
-const MOST_LIST_BYTES: u64 = 64 << 20;
+/// Maximum size in bytes of an expanded list from another node; room for about 100,000 routes.
+const MAX_LIST_BYTES: u64 = 64 << 20;
 
-/// Why what another node sent of a list can't be used.
+/// Why encoded changes of a list can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ChangesError {
-    /// It can't be compressed or expanded.
-    #[error("can't be expanded: {0}")]
+    /// Compressing or decompressing the changes failed.
+    #[error("compression or decompression failed: {0}")]
     Expand(#[from] std::io::Error),
-    /// It is no list of changes.
-    #[error("is no list of changes: {0}")]
+    /// The JSON text is not valid or does not describe changes.
+    #[error("not a valid list of changes: {0}")]
     Parse(#[from] serde_json::Error),
 }
 
-/// An entry of a list.
+/// An entry of a versioned list.
 pub(crate) trait ListEntry: Clone + PartialEq + Serialize + DeserializeOwned {
-    /// What tells it from other entries.
+    /// Identifies the entry within its list.
     fn key(&self) -> &Arc<str>;
 }
 
-/// Changes of a list, or all of it.
+/// Changes that lead from one version of a list to another, or a whole list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "T: ListEntry")]
 pub(crate) struct Changes<T> {
-    /// The version on which they build; 0 for the whole list.
+    /// The version to which the changes apply; 0 if `set` is the whole list.
     base_version: u64,
-    /// The version to which they lead.
+    /// The version that results from applying them.
     version: u64,
     set: Vec<T>,
     removed: Vec<Arc<str>>,
-    /// Digest of the list to which they lead.
+    /// Digest of the resulting list.
     digest: u64,
 }
 
 impl<T: ListEntry> Changes<T> {
-    /// The form in which they are sent to another node piece by piece.
+    /// Encodes the changes as compressed JSON, for fetches in pieces.
     pub(crate) fn encode(&self) -> Result<Vec<u8>, ChangesError> {
         let json = serde_json::to_vec(self)?;
         Ok(zstd::bulk::compress(&json, COMPRESSION_LEVEL)?)
     }
 
-    /// Changes as another node sent them.
+    /// Decodes changes that another node encoded. A longer list than [`MAX_LIST_BYTES`] is truncated and fails to
+    /// parse.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, ChangesError> {
         let mut json = Vec::new();
         zstd::Decoder::new(bytes)?
-            .take(MOST_LIST_BYTES)
+            .take(MAX_LIST_BYTES)
             .read_to_end(&mut json)?;
         Ok(serde_json::from_slice(&json)?)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Held<T> {
+struct StoredEntry<T> {
     entry: T,
     changed_at: u64,
     digest: u64,
@@ -82,24 +84,24 @@
 #[derive(Clone, Debug)]
 pub(crate) struct VersionedList<T> {
     version: u64,
-    held: BTreeMap<Arc<str>, Held<T>>,
-    removed: BTreeMap<Arc<str>, u64>,
-    /// Changes up to this version may have been forgotten.
-    forgotten: u64,
-    /// Sum of the entries' digests.
+    stored: BTreeMap<Arc<str>, StoredEntry<T>>,
+    tombstones: BTreeMap<Arc<str>, u64>,
+    /// Removals up to this version may have been forgotten, so a node with an older version gets the whole list.
+    forgotten_through: u64,
+    /// Wrapping sum of the digests of the entries.
     digest: u64,
-    wants_whole: bool,
+    needs_full_list: bool,
 }
 
 impl<T> Default for VersionedList<T> {
     fn default() -> Self {
         Self {
             version: 0,
-            held: BTreeMap::new(),
-            removed: BTreeMap::new(),
-            forgotten: 0,
+            stored: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
+            forgotten_through: 0,
             digest: 0,
-            wants_whole: false,
+            needs_full_list: false,
         }
     }
 }
@@ -109,93 +111,101 @@
         self.version
     }
 
-    /// The version to tell other nodes: 0 asks for the whole list.
+    /// The version to announce to other nodes; 0 to request the whole list.
     pub(crate) fn announced_version(&self) -> u64 {
-        if self.wants_whole { 0 } else { self.version }
+        if self.needs_full_list {
+            0
+        } else {
+            self.version
+        }
     }
 
-    /// Whether the entries are known to be those of the version.
-    pub(crate) fn is_whole(&self) -> bool {
-        !self.wants_whole
+    /// Whether the list is known to be complete. It is not if its digest differs from that of the node that sent
+    /// the last changes.
+    pub(crate) fn is_complete(&self) -> bool {
+        !self.needs_full_list
     }
 
-    /// Whether a list of `their_version` holds something new.
+    /// Whether a list of `their_version` is to replace this one.
     pub(crate) fn is_stale_against(&self, their_version: u64) -> bool {
-        supersedes(their_version, self.version) || self.wants_whole && their_version == self.version
+        supersedes(their_version, self.version)
+            || self.needs_full_list && their_version == self.version
     }
 
     pub(crate) fn entries(&self) -> impl Iterator<Item = &T> {
-        self.held.values().map(|held| &held.entry)
+        self.stored.values().map(|stored| &stored.entry)
     }
 
     pub(crate) fn contains(&self, key: &str) -> bool {
-        self.held.contains_key(key)
+        self.stored.contains_key(key)
     }
 
-    /// Takes over a whole list, unless the present one is as new.
+    /// Replaces the list, unless it is as new as the given one. Returns whether it was replaced.
     pub(crate) fn replace(&mut self, version: u64, entries: Vec<T>) -> bool {
         if !self.is_stale_against(version) {
             return false;
         }
-        if self.version == 0 || self.wants_whole {
-            // What was removed before this list is not known here. Who asks for changes from then on would get a list
-            // that still holds what is gone.
-            self.forgotten = version;
+        if self.version == 0 || self.needs_full_list {
+            // Removals before this version are not known here. A node that gets only the changes from an older
+            // version would keep the removed entries.
+            self.forgotten_through = version;
         }
         let kept: HashSet<&str> = entries.iter().map(|entry| &**entry.key()).collect();
-        let keys = self.held.keys();
-        let gone: Vec<Arc<str>> = keys
+        let keys = self.stored.keys();
+        let removed_keys: Vec<Arc<str>> = keys
             .filter(|key| !kept.contains(&***key))
             .cloned()
             .collect();
-        self.advance(version, entries, &gone);
-        self.wants_whole = false;
+        self.advance(version, entries, &removed_keys);
+        self.needs_full_list = false;
         true
     }
 
-    /// What a node is missing that has the list of `their_version`; none if that is as new as this one.
+    /// The changes for a node with the list of `their_version`; `None` if that is as new as this one.
     ///
-    /// A list that is not known to be whole is told to nobody: it may lack entries that its version has.
+    /// A list that is not known to be complete is not sent to other nodes, because it may lack entries of its
+    /// version.
     pub(crate) fn changes_since(&self, their_version: u64) -> Option<Changes<T>> {
-        if their_version >= self.version || self.wants_whole {
+        if their_version >= self.version || self.needs_full_list {
             return None;
         }
-        let base_version = if their_version < self.forgotten {
+        let base_version = if their_version < self.forgotten_through {
             0
         } else {
             their_version
         };
         let changed = self
-            .held
+            .stored
             .values()
-            .filter(|held| held.changed_at > base_version);
-        let removed = self.removed.iter().filter(|(_, at)| **at > base_version);
+            .filter(|stored| stored.changed_at > base_version);
+        let removed = self.tombstones.iter().filter(|(_, at)| **at > base_version);
         Some(Changes {
             base_version,
             version: self.version,
-            set: changed.map(|held| held.entry.clone()).collect(),
+            set: changed.map(|stored| stored.entry.clone()).collect(),
             removed: removed.map(|(key, _)| key.clone()).collect(),
             digest: self.digest,
         })
     }
 
-    /// What a node is missing that has the list of `their_version`, if that is at most `most` entries.
-    pub(crate) fn few_changes_since(&self, their_version: u64, most: usize) -> Option<Changes<T>> {
-        // Most exchanges of views are between nodes that have the same list.
-        if their_version >= self.version || self.wants_whole {
+    /// The changes for a node with the list of `their_version`, if they set at most `limit` entries. Removals are
+    /// not counted.
+    pub(crate) fn few_changes_since(&self, their_version: u64, limit: usize) -> Option<Changes<T>> {
+        // Most gossip exchanges are between nodes with the same list.
+        if their_version >= self.version || self.needs_full_list {
             return None;
         }
-        let is_whole_needed = their_version < self.forgotten;
-        let changed_at = self.held.values().map(|held| held.changed_at);
-        let changed = changed_at.filter(|at| is_whole_needed || *at > their_version);
-        // One more than permitted is enough to know.
-        let is_few = changed.take(most + 1).count() <= most;
+        let is_full_list_needed = their_version < self.forgotten_through;
+        let changed_at = self.stored.values().map(|stored| stored.changed_at);
+        let changed = changed_at.filter(|at| is_full_list_needed || *at > their_version);
+        // Counting stops at one more than permitted.
+        let is_few = changed.take(limit + 1).count() <= limit;
         is_few.then(|| self.changes_since(their_version))?
     }
 
-    /// Applies what another node sent; says whether the list changed.
+    /// Applies changes that another node sent. Returns whether the list changed.
     ///
-    /// When the outcome is not what the other node has, the whole list is asked for at the next exchange.
+    /// If the resulting list differs from the sender's, the whole list is requested in the next exchange.
     pub(crate) fn apply(&mut self, changes: Changes<T>) -> bool {
         if changes.base_version == 0 {
             return self.replace(changes.version, changes.set);
@@ -204,52 +214,52 @@
             return false;
         }
         self.advance(changes.version, changes.set, &changes.removed);
-        self.wants_whole = self.digest != changes.digest;
-        if self.wants_whole {
-            log::warn!(version = self.version; "a list differs from that of another node; the whole list is asked for");
+        self.needs_full_list = self.digest != changes.digest;
+        if self.needs_full_list {
+            log::warn!(version = self.version; "a list differs from that of another node; requesting the whole list");
         }
         true
     }
 
-    fn advance(&mut self, version: u64, set: Vec<T>, gone: &[Arc<str>]) {
+    fn advance(&mut self, version: u64, set: Vec<T>, removed_keys: &[Arc<str>]) {
         self.version = version;
-        for key in gone {
-            if let Some(held) = self.held.remove(key) {
-                self.digest = self.digest.wrapping_sub(held.digest);
-                self.removed.insert(key.clone(), version);
+        for key in removed_keys {
+            if let Some(stored) = self.stored.remove(key) {
+                self.digest = self.digest.wrapping_sub(stored.digest);
+                self.tombstones.insert(key.clone(), version);
             }
         }
         for entry in set {
             self.set(version, entry);
         }
-        while self.removed.len() > MOST_REMOVED {
-            let oldest = self.removed.iter().min_by_key(|(_, at)| **at);
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let oldest = self.tombstones.iter().min_by_key(|(_, at)| **at);
             let Some((key, at)) = oldest.map(|(key, at)| (key.clone(), *at)) else {
                 return;
             };
-            self.removed.remove(&key);
-            self.forgotten = self.forgotten.max(at);
+            self.tombstones.remove(&key);
+            self.forgotten_through = self.forgotten_through.max(at);
         }
     }
 
     fn set(&mut self, version: u64, entry: T) {
         let key = entry.key().clone();
-        let before = self.held.get(&key);
-        if before.is_some_and(|held| held.entry == entry) {
+        let before = self.stored.get(&key);
+        if before.is_some_and(|stored| stored.entry == entry) {
             return;
         }
         let digest = digest_of(&entry);
         self.digest = self
             .digest
-            .wrapping_sub(before.map_or(0, |held| held.digest))
+            .wrapping_sub(before.map_or(0, |stored| stored.digest))
             .wrapping_add(digest);
-        self.removed.remove(&key);
-        let held = Held {
+        self.tombstones.remove(&key);
+        let stored = StoredEntry {
             entry,
             changed_at: version,
             digest,
         };
-        self.held.insert(key, held);
+        self.stored.insert(key, stored);
     }
 }
 
@@ -257,8 +267,9 @@
     match serde_json::to_vec(entry) {
         Ok(bytes) => xxh3_64(&bytes),
         Err(error) => {
-            // The lists hold plain fields only; a digest that is wrong costs a whole list.
-            log::error!(error:%; "an entry of a list can't be written");
+            // The entries consist of plain fields, so this is not expected. A wrong digest only causes a fetch of
+            // the whole list.
+            log::error!(error:%; "an entry of a list can't be encoded");
             0
         }
     }
--- a/crates/dragonflystep_edge/src/views.rs
+++ b/crates/dragonflystep_edge/src/views.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the catalogue and of the registry, with versions that only rise.
+//! The catalogue and the registry that a node has in force. Their versions only rise.
 
 use {
     crate::{
@@ -19,17 +19,17 @@
     }
 }
 
-/// A version of the registry.
+/// A version of the registry, shared without copying its upstreams.
 #[derive(Clone, Default)]
 pub(crate) struct RegistryView {
     pub(crate) version: u64,
     pub(crate) upstreams: Rc<Vec<Upstream>>,
 }
 
-/// What a node believes.
+/// The catalogue and the registry in force, each also as a versioned list for other nodes.
 #[derive(Default)]
 pub(crate) struct Views {
-    /// The routing table of the catalogue in force.
+    /// The routing table of the catalogue in force; `None` before the first catalogue.
     catalogue: RefCell<Option<Rc<RoutingTable>>>,
     catalogue_list: RefCell<VersionedList<CatalogueEntry>>,
     registry: RefCell<RegistryView>,
@@ -37,12 +37,12 @@
 }
 
 impl Views {
-    /// The catalogue in force.
+    /// The routing table of the catalogue in force.
     pub(crate) fn catalogue(&self) -> Option<Rc<RoutingTable>> {
         self.catalogue.borrow().clone()
     }
 
-    /// Version of the catalogue in force; 0 is none.
+    /// Version of the catalogue in force; 0 if there is none.
     pub(crate) fn catalogue_version(&self) -> u64 {
         let catalogue = self.catalogue.borrow();
         catalogue
@@ -50,24 +50,24 @@
             .map_or(0, |table| table.catalogue().version)
     }
 
-    /// Takes over a whole catalogue; says whether it is news.
+    /// Replaces the catalogue by a newer one. Returns whether it was replaced.
     pub(crate) fn replace_catalogue(&self, catalogue: Catalogue) -> bool {
         let version = catalogue.version;
         let entries = entries_of(catalogue);
-        let is_news = self.catalogue_list.borrow_mut().replace(version, entries);
-        self.refresh_catalogue(is_news)
+        let has_changed = self.catalogue_list.borrow_mut().replace(version, entries);
+        self.refresh_catalogue(has_changed)
     }
 
-    /// Applies what another node sent of the catalogue; says whether another one is in force.
+    /// Applies changes of the catalogue that another node sent. Returns whether a new catalogue is in force.
     pub(crate) fn apply_catalogue(&self, changes: Changes<CatalogueEntry>) -> bool {
-        let is_news = self.catalogue_list.borrow_mut().apply(changes);
-        self.refresh_catalogue(is_news)
+        let has_changed = self.catalogue_list.borrow_mut().apply(changes);
+        self.refresh_catalogue(has_changed)
     }
 
-    fn refresh_catalogue(&self, is_news: bool) -> bool {
+    fn refresh_catalogue(&self, has_changed: bool) -> bool {
         let list = self.catalogue_list.borrow();
-        // Changes that do not lead to what the other node has are not put in force; the whole list comes next.
-        if !is_news || !list.is_whole() {
+        // A list whose digest differs from the sender's is not put in force. The node fetches the whole list next.
+        if !has_changed || !list.is_complete() {
             return false;
         }
         let catalogue = catalogue_of(list.version(), list.entries());
@@ -76,7 +76,7 @@
         true
     }
 
-    /// The catalogue as a list of entries.
+    /// The catalogue as a versioned list, to be sent to other nodes.
     pub(crate) fn catalogue_list(&self) -> Ref<'_, VersionedList<CatalogueEntry>> {
         self.catalogue_list.borrow()
     }
@@ -85,30 +85,30 @@
         self.registry.borrow().clone()
     }
 
-    /// Takes over a whole registry; says whether it is news.
+    /// Replaces the registry by a newer one. Returns whether it was replaced.
     pub(crate) fn replace_registry(&self, version: u64, upstreams: Vec<Upstream>) -> bool {
-        let is_news = self.registry_list.borrow_mut().replace(version, upstreams);
-        self.refresh_registry(is_news)
+        let has_changed = self.registry_list.borrow_mut().replace(version, upstreams);
+        self.refresh_registry(has_changed)
     }
 
-    /// Applies what another node sent of the registry; says whether it is news.
+    /// Applies changes of the registry that another node sent. Returns whether it changed.
     pub(crate) fn apply_registry(&self, changes: Changes<Upstream>) -> bool {
-        let is_news = self.registry_list.borrow_mut().apply(changes);
-        self.refresh_registry(is_news)
+        let has_changed = self.registry_list.borrow_mut().apply(changes);
+        self.refresh_registry(has_changed)
     }
 
-    fn refresh_registry(&self, is_news: bool) -> bool {
-        if is_news {
+    fn refresh_registry(&self, has_changed: bool) -> bool {
+        if has_changed {
             let list = self.registry_list.borrow();
             self.registry.replace(RegistryView {
                 version: list.version(),
                 upstreams: Rc::new(list.entries().cloned().collect()),
             });
         }
-        is_news
+        has_changed
     }
 
-    /// The registry as a list of entries.
+    /// The registry as a versioned list, to be sent to other nodes.
     pub(crate) fn registry_list(&self) -> Ref<'_, VersionedList<Upstream>> {
         self.registry_list.borrow()
     }
