--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether no other node has answered this one for [`MAX_PEER_SILENCE`]; false if no other node is listed.
+    /// Whether no other node has answered this one for `MAX_PEER_SILENCE`; false if no other node is listed.
     pub fn is_cut_off_from_peers(&self) -> bool {
         let silent_for = self.owner.now().saturating_sub(self.peer_answered_at.get());
         self.members.listed_count() > 1 && silent_for > MAX_PEER_SILENCE
