--- a/crates/dragonflystep_edge/src/exchange.rs
+++ b/crates/dragonflystep_edge/src/exchange.rs
@@ -1,4 +1,7 @@
 //! Gossip exchanges with other nodes, which also serve as the failure detector.
+//!
+//! A node calls each of its partners at intervals with a digest of its state, and the partner answers with its own
+//! digest. A partner that does not answer counts as failed until it answers again.
 
 use {
     crate::{
--- a/crates/dragonflystep_edge/src/limits.rs
+++ b/crates/dragonflystep_edge/src/limits.rs
@@ -35,8 +35,8 @@
 /// Timeout for fetching one such piece: twice the time that it takes at 0.5 Mbit/s.
 pub(crate) const LIST_PIECE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Calls made for one piece of a list before the fetch is given up; a later exchange may start it from another
-/// node.
+/// Maximum number of calls for one piece of a list. Then the fetch is given up, and a later exchange may start one
+/// from another node.
 pub(crate) const MAX_LIST_PIECE_TRIES: u32 = 2;
 
 /// Maximum number of encoded changes per list that are cached for nodes which fetch them. A fetch takes about a
@@ -53,8 +53,8 @@
 /// How long a reported suspicion stays valid; longer than two gossip exchanges.
 pub(crate) const SUSPICION_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Time window in which the nodes that called an owner count as visible to it when it grants quotas. Longer than
-/// the longest time between two gossip exchanges (0.96 s).
+/// Time window of contacts: nodes that called an owner within it count as visible when the owner grants quotas.
+/// Longer than the longest time between two gossip exchanges (0.96 s).
 pub(crate) const RECENT_CONTACT_WINDOW: Duration = Duration::from_millis(1_200);
 
 /// Lower bound of the share of that window for which a node that has just started counts as listening. It bounds
@@ -72,8 +72,8 @@
 /// has healed. More than the number of nodes that usually restart together.
 pub(crate) const REFUTATIONS_AFTER_PARTITION: usize = 3;
 
-/// A node that got no answer from a first owner for this long was cut off from it. What the node believes of other
-/// nodes may then date from before.
+/// A node that got no answer from a first owner for this long was cut off from it, and what it believes of other
+/// nodes may be out of date.
 pub(crate) const MIN_OWNER_CUT_OFF: Duration = Duration::from_millis(1_500);
 
 /// Delay of a timer from which on a node concludes that it was paused. A busy machine delays timers by less.
--- a/crates/dragonflystep_edge/src/list_fetch.rs
+++ b/crates/dragonflystep_edge/src/list_fetch.rs
@@ -227,7 +227,7 @@
         let to = (from + LIST_PIECE_BYTES).min(self.bytes.len());
         ListPiece {
             target_version: self.target_version,
-            // Encoded changes are far below 4 GB. Of a larger size, the rest could not be requested.
+            // Encoded changes are far below 4 GB. Bytes beyond that could not be requested.
             total_bytes: u32::try_from(self.bytes.len()).unwrap_or(u32::MAX),
             bytes: self.bytes[from..to].to_vec(),
         }
--- a/crates/dragonflystep_edge/src/list_version.rs
+++ b/crates/dragonflystep_edge/src/list_version.rs
@@ -51,9 +51,8 @@
     }
 }
 
-/// Whether the list in force, of version `known`, still has entries of the time before `era` began, so that those
-/// which a table of that era lacks are to be kept. `read_in_era` is the era in which this node read the table
-/// before.
+/// Whether the list in force, of version `known`, still has entries from before `era` began. A reader then keeps
+/// the entries that a table of that era lacks. `read_in_era` is the era in which this node last read the table.
 ///
 /// # Examples
 /// ```
--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -100,7 +100,8 @@
 
     /// Whether the platform was available to other nodes all the time, even if it did not answer this one.
     ///
-    /// An entry that is missing there was then removed on purpose; it did not expire because nobody could write it.
+    /// If so, an entry that is missing there was removed on purpose. Otherwise it may have expired because nobody
+    /// could renew it.
     pub fn was_platform_up(&self) -> bool {
         self.platform_silence() <= MAX_PLATFORM_SILENCE
             && self.platform_up_for() >= MIN_PLATFORM_UPTIME
--- a/crates/dragonflystep_edge/src/peer_service.rs
+++ b/crates/dragonflystep_edge/src/peer_service.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records that the other node requests a slot, which shows as well as a gossip exchange that it is running.
+    /// Records a slot request as a contact: like a gossip exchange, it shows that the other node is running.
     fn note_slot_request(&self) {
         let (node, peer) = (&self.node, self.peer.borrow());
         if let Some(peer) = &*peer {
--- a/crates/dragonflystep_edge/src/upstream_notices.rs
+++ b/crates/dragonflystep_edge/src/upstream_notices.rs
@@ -1,4 +1,5 @@
-//! Reads the notices in the heads of upstreams' answers and passes them to the dispatcher and to other nodes.
+//! Reads the notices in the heads of upstreams' answers (rate limit, leaving, back-off) and passes them to the
+//! dispatcher and to other nodes.
 //!
 //! Each node keeps both the notices that it read and those that other nodes sent, since any node may become the
 //! owner of the services.
--- a/crates/dragonflystep_edge/src/versioned_list.rs
+++ b/crates/dragonflystep_edge/src/versioned_list.rs
@@ -1,4 +1,5 @@
-//! A versioned list that nodes send to one another, as changes where those are enough.
+//! A versioned list that nodes send to one another. They send only the changes if they still know them, otherwise
+//! the whole list.
 //!
 //! It is designed for a registry of thousands of upstreams of which a few change each second. Sent whole, the
 //! registry would fill the links between the nodes.
