--- a/benches/benches/decisions.rs
+++ b/benches/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! Cost of a decision: a whole request on one node, from its receipt to its whole answer.
+//! Cost of a whole request on one node, from its receipt to the end of its answer, and of the node's periodic work.
 //!
-//! The size of the system grows from 15 upstreams to 2,100, and from 5 accounts to 20,000; a decision must
-//! not grow with it.
+//! The system grows from 15 upstreams to 2,100, and from 5 accounts to 20,000; the cost of a request must not grow with
+//! it.
 
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
@@ -9,7 +9,8 @@
     std::time::{Duration, Instant},
 };
 
-/// Sizes that are measured: today's, ten times as much, and the size in two years.
+/// System sizes: the present size, ten times as many upstreams, and the size expected in two years, once with few
+/// accounts and once with many.
 const SIZES: [Size; 4] = [
     Size {
         upstreams: 15,
@@ -37,16 +38,16 @@
         let mut node = SingleNode::settled(size);
         let name = format!("{}_upstreams_{}_accounts", size.upstreams, size.accounts);
         group.bench_function(BenchmarkId::from_parameter(name), |bencher| {
-            // Rounds of leases and groups are not part of a decision; they run between the requests.
+            // The periodic work for leases and groups is not part of a request, so it runs between the timed parts.
             bencher.iter_custom(|iterations| {
-                let mut spent = Duration::ZERO;
+                let mut elapsed = Duration::ZERO;
                 for _ in 0..iterations {
-                    let begin = Instant::now();
+                    let start = Instant::now();
                     node.whole_request();
-                    spent += begin.elapsed();
+                    elapsed += start.elapsed();
                     node.catch_up();
                 }
-                spent
+                elapsed
             });
         });
         assert!(
@@ -57,7 +58,7 @@
     group.finish();
 }
 
-/// The rounds of one node over one second, with all groups held by it.
+/// The periodic work of one second on a node that holds all groups.
 fn one_second_of_rounds(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one_second_of_rounds");
     group.sample_size(10);
@@ -78,7 +79,7 @@
 
 #[allow(
     missing_docs,
-    reason = "the macro makes a public function without a comment"
+    reason = "criterion_group! generates a public function without a doc comment"
 )]
 mod groups {
     use super::*;
--- a/benches/benches/placing.rs
+++ b/benches/benches/placing.rs
@@ -1,6 +1,7 @@
-//! Cost of a decision of an edge node's owner under its worst load: all places are taken and requests wait.
+//! Cost of an owner's decisions on an edge node under the worst load: all slots are occupied and requests wait.
 //!
-//! A decision is the end of a run, which gives its place to one that waits, and a new request, which waits in its place.
+//! One iteration is the end of a run, whose slot goes to a waiting request, and the arrival of a new request, which
+//! joins the queue. The number of waiting requests therefore stays the same.
 
 use {
     criterion::{BenchmarkId, Criterion},
@@ -17,13 +18,13 @@
 const SERVICE: &str = "engines";
 const SLOTS: u32 = 5;
 
-/// Upstreams and waiting requests that are measured: a deployment of today, and the size in two years.
+/// Numbers of upstreams and of waiting requests: the size of a present deployment, and the size expected in two years.
 const SIZES: [(usize, usize); 2] = [(90, 300), (2_100, 1_000)];
 
-/// Time between two decisions.
+/// Virtual time between two iterations.
 const STEP: Duration = Duration::from_micros(200);
 
-/// Decisions whose 99th percentile is printed.
+/// Number of iterations from which the median and the 99th percentile are computed.
 const SAMPLES: usize = 20_000;
 
 fn limits() -> SharedLimits {
@@ -55,7 +56,7 @@
     }
 }
 
-fn ask(run: RunId) -> SlotRequest {
+fn slot_request(run: RunId) -> SlotRequest {
     SlotRequest {
         run,
         service: SERVICE.into(),
@@ -78,29 +79,30 @@
     }
 }
 
-/// An owner whose upstreams are full.
-struct FullOwner {
+/// An owner whose slots are all occupied.
+struct SaturatedOwner {
     owner: Dispatcher,
     now: Duration,
     next_run: RunId,
+    /// Runs in flight, in the order of their grants.
     running: VecDeque<RunId>,
 }
 
-impl FullOwner {
+impl SaturatedOwner {
     fn new(upstreams: usize, waiting: usize) -> Self {
-        let mut full = Self {
+        let mut saturated = Self {
             owner: Dispatcher::new(limits()),
             now: Duration::from_secs(20),
             next_run: 0,
             running: VecDeque::new(),
         };
         let entries = (0..upstreams).map(upstream).collect();
-        full.reduce(Event::UpstreamsChanged(entries));
+        saturated.reduce(Event::UpstreamsChanged(entries));
         for _ in 0..upstreams * SLOTS as usize + waiting {
-            full.next_run += 1;
-            full.reduce(Event::SlotRequested(ask(full.next_run)));
+            saturated.next_run += 1;
+            saturated.reduce(Event::SlotRequested(slot_request(saturated.next_run)));
         }
-        full
+        saturated
     }
 
     fn reduce(&mut self, event: Event) {
@@ -111,10 +113,13 @@
         }
     }
 
-    /// A run ends, and another request comes.
+    /// Ends the oldest run and sends a new request.
     fn decide(&mut self) {
         self.now += STEP;
-        let run = self.running.pop_front().expect("requests run");
+        let run = self
+            .running
+            .pop_front()
+            .expect("at least one run is in flight");
         self.reduce(Event::RunEnded(RunReport {
             run,
             service: SERVICE.into(),
@@ -124,7 +129,7 @@
             events: 30,
         }));
         self.next_run += 1;
-        self.reduce(Event::SlotRequested(ask(self.next_run)));
+        self.reduce(Event::SlotRequested(slot_request(self.next_run)));
     }
 }
 
@@ -134,26 +139,29 @@
     group.warm_up_time(Duration::from_secs(1));
     for (upstreams, waiting) in SIZES {
         let name = format!("{upstreams}_upstreams_{waiting}_waiting");
-        let mut full = FullOwner::new(upstreams, waiting);
+        let mut saturated = SaturatedOwner::new(upstreams, waiting);
         group.bench_function(BenchmarkId::from_parameter(&name), |bencher| {
-            bencher.iter(|| full.decide());
+            bencher.iter(|| saturated.decide());
         });
-        print_percentiles(&name, &mut full);
+        print_percentiles(&name, &mut saturated);
     }
     group.finish();
 }
 
-fn print_percentiles(name: &str, full: &mut FullOwner) {
-    let mut spent: Vec<Duration> = (0..SAMPLES)
+fn print_percentiles(name: &str, saturated: &mut SaturatedOwner) {
+    let mut durations: Vec<Duration> = (0..SAMPLES)
         .map(|_| {
-            let begin = Instant::now();
-            full.decide();
-            begin.elapsed()
+            let start = Instant::now();
+            saturated.decide();
+            start.elapsed()
         })
         .collect();
-    spent.sort_unstable();
-    let (median, high) = (spent[SAMPLES / 2], spent[SAMPLES * 99 / 100]);
-    #[expect(clippy::print_stdout, reason = "a figure of the benchmark")]
+    durations.sort_unstable();
+    let (median, high) = (durations[SAMPLES / 2], durations[SAMPLES * 99 / 100]);
+    #[expect(
+        clippy::print_stdout,
+        reason = "the percentiles are results of the benchmark"
+    )]
     {
         println!("{name}: median {median:?}, 99th percentile {high:?}");
     }
--- a/benches/src/lib.rs
+++ b/benches/src/lib.rs
@@ -1,1 +1,1 @@
-//! Benchmarks live in `benches/`; this library only gives them a home.
+//! Empty library: the package needs one so that it can hold the benchmarks in `benches/`.
--- a/crates/dragonflystep_dispatch/tests/overload.rs
+++ b/crates/dragonflystep_dispatch/tests/overload.rs
@@ -1,14 +1,15 @@
-//! Bursts on engines of unlike speed: who is served in time, who is refused, and how early.
+//! Bursts on engines of different speeds: which requests are served in time, which are refused, and how early.
 //!
-//! The bounds are a little below what the replays gave when they were written; each seed always gives
-//! the same figures.
+//! Guards against changes of placement, queueing or load shedding that make urgent requests late in a burst or refuse
+//! them while less urgent ones are served. The same seed always gives the same results, and the bounds are slightly
+//! looser than these.
 
 mod support;
 
 use support::{
     Load, Replay,
-    engine::{FAST_READER, SLOW_READER},
-    kinds::{booking_kinds, works_kinds},
+    engine::{FAST_PREFILL, SLOW_PREFILL},
+    kinds::{booking_kinds, factory_kinds},
     replay,
 };
 
@@ -20,40 +21,40 @@
     }
 }
 
-fn calm(_: f64) -> f64 {
+fn steady(_: f64) -> f64 {
     1.0
 }
 
-fn works_load(seed: u64, factor: fn(f64) -> f64) -> Load {
+fn factory_load(seed: u64, factor: fn(f64) -> f64) -> Load {
     let slowness = [0.68, 0.68, 3.0].into_iter().cycle().take(12).collect();
     Load {
-        kinds: works_kinds(),
-        engine: SLOW_READER,
+        kinds: factory_kinds(),
+        engine: SLOW_PREFILL,
         slowness,
         slots: 5,
-        length_s: 16.0,
-        factor,
-        comes_back: false,
+        duration_s: 16.0,
+        rate_factor: factor,
+        repeats_refused: false,
         seed,
     }
 }
 
-/// The same load with callers that come back once after a refusal.
-fn returning_load(seed: u64, factor: fn(f64) -> f64) -> Load {
+/// The factory load with callers that repeat a refused request once.
+fn repeating_load(seed: u64, factor: fn(f64) -> f64) -> Load {
     Load {
-        comes_back: true,
-        ..works_load(seed, factor)
+        repeats_refused: true,
+        ..factory_load(seed, factor)
     }
 }
 
-fn in_time(result: &Replay, kind: &str) -> f64 {
+fn share_in_time(result: &Replay, kind: &str) -> f64 {
     result.kinds[kind].share_in_time()
 }
 
 #[test]
-fn a_calm_load_is_served_in_time_and_nothing_is_refused() {
+fn a_steady_load_is_served_in_time_and_nothing_is_refused() {
     for seed in 1..=4 {
-        let result = replay(&works_load(seed, calm));
+        let result = replay(&factory_load(seed, steady));
         for (kind, outcome) in &result.kinds {
             assert_eq!(outcome.refused, 0, "{kind} with seed {seed}");
             assert!(
@@ -67,19 +68,19 @@
 #[test]
 fn in_a_burst_of_all_kinds_urgent_requests_stay_in_time() {
     for seed in 1..=4 {
-        let result = replay(&works_load(seed, burst));
+        let result = replay(&factory_load(seed, burst));
         assert!(
-            in_time(&result, "quote") > 0.98,
+            share_in_time(&result, "quote") > 0.98,
             "seed {seed}: {:?}",
             result.kinds
         );
         assert!(
-            in_time(&result, "report") > 0.88,
+            share_in_time(&result, "report") > 0.88,
             "seed {seed}: {:?}",
             result.kinds
         );
         assert!(
-            in_time(&result, "question") > 0.35,
+            share_in_time(&result, "question") > 0.35,
             "seed {seed}: {:?}",
             result.kinds
         );
@@ -87,27 +88,30 @@
 }
 
 #[test]
-fn in_a_burst_no_kind_is_refused_for_load_while_a_lower_one_is_served() {
+fn in_a_burst_requests_are_rarely_refused_while_less_urgent_ones_are_granted_slots() {
     for seed in 1..=4 {
-        let result = replay(&works_load(seed, burst));
+        let result = replay(&factory_load(seed, burst));
         let refused: u32 = result.kinds.values().map(|outcome| outcome.refused).sum();
-        // A place given in the tenth of a second after a refusal can't be foreseen.
+        // At a refusal it can't be foreseen that a slot will be free within the next 100 ms.
         assert!(
-            result.refused_above_served <= 3,
+            result.priority_inversions <= 3,
             "seed {seed}: {}",
-            result.refused_above_served
+            result.priority_inversions
+        );
+        assert!(
+            refused > 200,
+            "only {refused} requests were refused, so the load is no overload"
         );
-        assert!(refused > 200, "the load is no overload: {refused}");
     }
 }
 
 #[test]
-fn in_a_burst_nobody_is_held_longer_than_two_objectives() {
+fn in_a_burst_no_request_waits_longer_than_two_objectives_for_its_refusal() {
     for seed in 1..=4 {
-        let result = replay(&works_load(seed, burst));
+        let result = replay(&factory_load(seed, burst));
         for (kind, outcome) in &result.kinds {
             assert!(
-                outcome.refused_after_ms_most <= 2_010.0,
+                outcome.max_refused_after_ms <= 2_010.0,
                 "{kind}: {outcome:?}"
             );
         }
@@ -115,23 +119,23 @@
 }
 
 #[test]
-fn slow_engines_work_as_much_as_fast_ones_in_a_burst() {
-    let result = replay(&works_load(2, burst));
-    let least = result.busy.iter().copied().fold(f64::INFINITY, f64::min);
-    assert!(least > 0.75, "{:?}", result.busy);
+fn slow_engines_are_kept_busy_in_a_burst() {
+    let result = replay(&factory_load(2, burst));
+    let min_busy = result.busy.iter().copied().fold(f64::INFINITY, f64::min);
+    assert!(min_busy > 0.75, "{:?}", result.busy);
 }
 
 #[test]
-fn in_a_burst_callers_who_come_back_do_not_make_the_others_late() {
+fn in_a_burst_repeated_requests_do_not_make_others_late() {
     for seed in 1..=4 {
-        let result = replay(&returning_load(seed, burst));
+        let result = replay(&repeating_load(seed, burst));
         let question = &result.kinds["question"];
         assert!(question.share_in_time() > 0.37, "seed {seed}: {question:?}");
-        let served = f64::from(question.in_time + question.late) / f64::from(question.asked);
+        let served = f64::from(question.in_time + question.late) / f64::from(question.requests);
         assert!(served > 0.68, "seed {seed}: {question:?}");
         for kind in ["quote", "report"] {
             assert!(
-                in_time(&result, kind) > 0.89,
+                share_in_time(&result, kind) > 0.89,
                 "seed {seed}: {:?}",
                 result.kinds
             );
@@ -140,29 +144,31 @@
     }
 }
 
-/// Arrivals on engines that differ five times, whose places are all taken in the burst.
+/// The load of a booking assistant on engines whose speeds differ by a factor of five; in its burst all slots are
+/// occupied.
 fn booking_load(seed: u64) -> Load {
     let slowness = [0.55, 1.0, 2.8].into_iter().cycle().take(12).collect();
     Load {
         kinds: booking_kinds(),
-        engine: FAST_READER,
+        engine: FAST_PREFILL,
         slowness,
         slots: 15,
-        length_s: 14.0,
-        factor: |at_s| if (3.0..9.0).contains(&at_s) { 1.6 } else { 0.9 },
-        comes_back: true,
+        duration_s: 14.0,
+        rate_factor: |at_s| if (3.0..9.0).contains(&at_s) { 1.6 } else { 0.9 },
+        repeats_refused: true,
         seed,
     }
 }
 
 #[test]
-fn long_runs_go_where_they_hold_a_place_for_a_short_time() {
+fn long_runs_go_to_engines_where_they_occupy_a_slot_for_a_short_time() {
     let results: Vec<Replay> = (1..=4).map(|seed| replay(&booking_load(seed))).collect();
     let mean = |kind| {
-        let shares = results.iter().map(|result| in_time(result, kind));
+        let shares = results.iter().map(|result| share_in_time(result, kind));
         shares.sum::<f64>() / results.len() as f64
     };
-    // 0.583 when only the first event and the load decide; 0.622 with a part of the length of the run.
+    // The share of digests in time is 0.583 if placement weighs only the time to the first event and the load, and
+    // 0.622 if it also weighs part of the duration of the run.
     assert!(mean("digest") > 0.60, "{}", mean("digest"));
     assert!(mean("query") > 0.92, "{}", mean("query"));
     assert!(mean("plan") > 0.98, "{}", mean("plan"));
--- a/crates/dragonflystep_dispatch/tests/ownership.rs
+++ b/crates/dragonflystep_dispatch/tests/ownership.rs
@@ -1,4 +1,7 @@
-//! Owners follow from the members that are seen, and change as little as possible.
+//! Ranking of the owners of a service by rendezvous hashing over the visible members.
+//!
+//! Guards against nodes that see the same members but rank owners differently, against services that change their owner
+//! without need, and against partitions that together exceed the shared limits.
 
 use {
     dragonflystep_dispatch::{Member, NodeName, partition_limit_share, rank_owners},
@@ -15,51 +18,51 @@
 
 proptest! {
     #[test]
-    fn all_who_see_the_same_members_name_the_same_owner(count in 1_usize..40, service in "[a-z]{1,8}") {
-        let listed = members(count);
-        let mut reversed = listed.clone();
+    fn nodes_that_see_the_same_members_rank_owners_alike(count in 1_usize..40, service in "[a-z]{1,8}") {
+        let all = members(count);
+        let mut reversed = all.clone();
         reversed.reverse();
-        prop_assert_eq!(rank_owners(&service, &listed), rank_owners(&service, &reversed));
+        prop_assert_eq!(rank_owners(&service, &all), rank_owners(&service, &reversed));
     }
 
     #[test]
-    fn a_member_that_goes_changes_the_owner_of_its_own_services_only(
-        count in 2_usize..40, gone in 0_usize..40, service in "[a-z]{1,8}",
+    fn removing_a_member_keeps_the_order_of_the_others(
+        count in 2_usize..40, removed in 0_usize..40, service in "[a-z]{1,8}",
     ) {
         let all = members(count);
-        let gone = gone % count;
+        let removed = removed % count;
         let before = rank_owners(&service, &all);
-        let left: Vec<Member> = all.iter().enumerate()
-            .filter(|(index, _)| *index != gone).map(|(_, member)| member.clone()).collect();
+        let remaining: Vec<Member> = all.iter().enumerate()
+            .filter(|(index, _)| *index != removed).map(|(_, member)| member.clone()).collect();
         let expected: Vec<NodeName> = before.iter()
-            .filter(|node| **node != all[gone].node).cloned().collect();
-        prop_assert_eq!(rank_owners(&service, &left), expected);
+            .filter(|node| **node != all[removed].node).cloned().collect();
+        prop_assert_eq!(rank_owners(&service, &remaining), expected);
     }
 
     #[test]
-    fn parts_that_do_not_see_each_other_share_at_most_an_eighth_beyond_one_majority(
-        cuts in proptest::collection::vec(1_usize..12, 1..8),
+    fn partitions_together_use_at_most_an_eighth_more_than_the_limits(
+        partitions in proptest::collection::vec(1_usize..12, 1..8),
     ) {
-        let known: usize = cuts.iter().sum();
-        let total: f64 = cuts.iter().map(|visible| partition_limit_share(*visible, known)).sum();
+        let known: usize = partitions.iter().sum();
+        let total: f64 = partitions.iter().map(|visible| partition_limit_share(*visible, known)).sum();
         prop_assert!(total <= 1.125 + 1e-9, "{}", total);
     }
 }
 
 #[test]
-fn a_larger_machine_owns_nearly_everything_beside_small_ones() {
-    let mut listed = members(60);
-    for member in &mut listed {
+fn large_vms_own_nearly_all_services() {
+    let mut all = members(60);
+    for member in &mut all {
         member.weight = 0.12_f64.powi(5);
     }
     for index in 0..6 {
-        listed.push(Member {
+        all.push(Member {
             node: NodeName::from(format!("large-{index}")),
             weight: 0.5_f64.powi(5),
         });
     }
     let owned_by_large = (0..200)
-        .filter(|service| rank_owners(&format!("s{service}"), &listed)[0].starts_with("large"))
+        .filter(|service| rank_owners(&format!("s{service}"), &all)[0].starts_with("large"))
         .count();
     assert!(owned_by_large > 185, "{owned_by_large} of 200");
 }
--- a/crates/dragonflystep_dispatch/tests/quota_owners.rs
+++ b/crates/dragonflystep_dispatch/tests/quota_owners.rs
@@ -1,8 +1,9 @@
-//! Owners of the quotas that follow one another in quick succession, in virtual time.
+//! Quotas while the owner of a service changes in quick succession, in virtual time.
 //!
-//! Nodes are killed, come back and are cut off, and each change of view makes another node the owner. An
-//! account that asks for far more than its quota must not get more than is tolerated within any window,
-//! however many owners there were; one that keeps within its quota is served on.
+//! Nodes are killed, restart and lose sight of each other, and each change of membership can make another node the
+//! owner. Guards against two failures: an account that requests far more than its quota gets more than is tolerated
+//! within a window because a new owner does not know all that its predecessors granted, and an account within its
+//! quota is refused after a change of owner.
 
 mod support;
 
@@ -15,15 +16,15 @@
     support::{
         Random,
         accounts::catalogue_with_quota,
-        dispatcher, limits, plain_ask,
-        verdicts::{ask, ended},
+        dispatcher, limits, plain_request,
+        verdicts::{request_slot, run_ended},
     },
 };
 
 const NODES: usize = 4;
 const WINDOW: Duration = Duration::from_secs(8);
 
-/// What an account may use, and what is tolerated beyond it besides a tenth.
+/// An account's quota, and the units that are tolerated beyond it in addition to a tenth of it.
 #[derive(Clone, Copy)]
 struct Quota {
     units_per_s: f64,
@@ -37,7 +38,7 @@
     tolerated_units: 140_000.0,
 };
 
-/// That of the soak.
+/// The quota that the soak uses.
 const SMALL: Quota = Quota {
     units_per_s: 4_000.0,
     burst_units: 4_000.0,
@@ -45,26 +46,27 @@
 };
 
 impl Quota {
-    /// What is tolerated in a window.
+    /// Most units that are tolerated in a window.
     fn tolerated(&self) -> f64 {
         (self.units_per_s * WINDOW.as_secs_f64() + self.burst_units) * 1.1 + self.tolerated_units
     }
 }
 
-/// Time between two looks at the load.
+/// Time between two requests of the account.
 const STEP: Duration = Duration::from_millis(10);
 const START: Duration = Duration::from_secs(20);
 
-/// One node: what it decides as an owner, and what it saw as an entry since it started.
+/// A node: its state as an owner, and the usage that it recorded as an entry since it started.
 struct Node {
     name: NodeName,
     owner: Dispatcher,
     quota: Quota,
     ledger: UsageLedger,
     started: Duration,
-    /// The owner that it asked last, with the number of that owner's starts.
-    asked: Option<(usize, u32)>,
-    starts: u32,
+    /// The owner that it sent its last request to, with the number of that owner's restarts at the time.
+    last_owner: Option<(usize, u32)>,
+    /// How often this node was restarted.
+    restarts: u32,
     is_up: bool,
 }
 
@@ -76,8 +78,8 @@
             quota,
             ledger: UsageLedger::new(WINDOW, false),
             started: Duration::ZERO,
-            asked: None,
-            starts: 0,
+            last_owner: None,
+            restarts: 0,
             is_up: true,
         };
         node.owner
@@ -89,10 +91,10 @@
         self.owner = new_owner(self.quota);
         self.ledger = UsageLedger::new(WINDOW, false);
         self.started = at;
-        self.asked = None;
-        self.starts += 1;
+        self.last_owner = None;
+        self.restarts += 1;
         self.is_up = true;
-        // The list of nodes is the first that a node learns.
+        // A node learns the list of nodes before anything else.
         self.owner
             .reduce(Duration::ZERO, Event::NodeCountChanged(NODES));
     }
@@ -115,43 +117,46 @@
     owner
 }
 
-/// A system whose nodes each ask one owner of their own view.
-struct System {
+/// The nodes of a system, each of which sends its requests to the node that it considers the owner.
+struct Cluster {
     nodes: Vec<Node>,
-    /// The owner by each node's view.
-    views: [usize; NODES],
+    /// For each node, the node that it considers the owner.
+    owner_views: [usize; NODES],
+    /// Time and units of the grants within the last window.
     granted: VecDeque<(Duration, f64)>,
     runs: RunId,
     refused: u32,
-    asked: u32,
-    most_in_window: f64,
+    requests: u32,
+    /// Most units granted within any window so far.
+    max_units_in_window: f64,
 }
 
-impl System {
+impl Cluster {
     fn new(quota: Quota) -> Self {
         Self {
             nodes: (0..NODES).map(|index| Node::new(index, quota)).collect(),
-            views: [0; NODES],
+            owner_views: [0; NODES],
             granted: VecDeque::new(),
             runs: 0,
             refused: 0,
-            asked: 0,
-            most_in_window: 0.0,
+            requests: 0,
+            max_units_in_window: 0.0,
         }
     }
 
-    /// One request of the account through the entry, as a node sends it on: the first ask to an owner comes
-    /// after the report.
+    /// Sends a request of the account to the owner that the entry knows.
+    ///
+    /// As in a real node, the entry reports its recorded usage before its first request to an owner.
     fn request(&mut self, at: Duration, entry: usize, units: u32) {
-        let owner = self.views[entry];
+        let owner = self.owner_views[entry];
         if !self.nodes[entry].is_up || !self.nodes[owner].is_up {
             return;
         }
-        let told = Some((owner, self.nodes[owner].starts));
-        if self.nodes[entry].asked != told {
+        let current = Some((owner, self.nodes[owner].restarts));
+        if self.nodes[entry].last_owner != current {
             let receiver = self.nodes[owner].name.clone();
             let node = &mut self.nodes[entry];
-            node.asked = told;
+            node.last_owner = current;
             let own_time = at - node.started;
             let report = node.ledger.report(own_time, node.name.clone(), &receiver);
             let owner_time = at - self.nodes[owner].started;
@@ -160,30 +165,31 @@
                 .reduce(owner_time, Event::UsageReported(report));
         }
         self.runs += 1;
-        self.asked += 1;
+        self.requests += 1;
         let request = SlotRequest {
             account: Some("mill".into()),
             quota_units: units,
-            ..plain_ask(self.runs, 0)
+            ..plain_request(self.runs, 0)
         };
         let owner_time = at - self.nodes[owner].started;
-        let decision = ask(&mut self.nodes[owner].owner, owner_time, request);
+        let decision = request_slot(&mut self.nodes[owner].owner, owner_time, request);
         if !matches!(decision, Some(SlotDecision::Granted(_))) {
             self.refused += 1;
             return;
         }
         self.nodes[owner]
             .owner
-            .reduce(owner_time, ended(self.runs, RunOutcome::Completed));
+            .reduce(owner_time, run_ended(self.runs, RunOutcome::Completed));
         let owner_name = self.nodes[owner].name.clone();
         let node = &mut self.nodes[entry];
         let own_time = at - node.started;
         node.ledger
             .record(own_time, &"mill".into(), &owner_name, f64::from(units));
-        self.count(at, f64::from(units));
+        self.record_grant(at, f64::from(units));
     }
 
-    fn count(&mut self, at: Duration, units: f64) {
+    /// Adds a grant to the window and updates the maximum.
+    fn record_grant(&mut self, at: Duration, units: f64) {
         self.granted.push_back((at, units));
         while self
             .granted
@@ -193,10 +199,11 @@
             self.granted.pop_front();
         }
         let sum: f64 = self.granted.iter().map(|(_, units)| units).sum();
-        self.most_in_window = self.most_in_window.max(sum);
+        self.max_units_in_window = self.max_units_in_window.max(sum);
     }
 
-    fn see(&mut self, at: Duration, node: usize, visible: usize) {
+    /// Sets how many nodes a node sees.
+    fn set_visible(&mut self, at: Duration, node: usize, visible: usize) {
         let owner_time = at - self.nodes[node].started;
         let visibility = Visibility {
             visible,
@@ -208,11 +215,13 @@
     }
 }
 
-/// Changes of owner drawn from a seed, up to eight in a window: all entries go to another node, which was
-/// killed and started anew before in one of three cases; entries are killed too.
-fn play_changes(seed: u64, quota: Quota, units: u32, is_within_quota: bool) -> System {
+/// Simulates 24 s with changes of owner drawn from a seed, up to eight in a window.
+///
+/// At each change all entries switch to another owner. In about one of three cases this node has just been restarted;
+/// in one of five another random node is restarted too, which loses the usage that it recorded as an entry.
+fn simulate_owner_changes(seed: u64, quota: Quota, units: u32, is_within_quota: bool) -> Cluster {
     let mut random = Random::new(seed);
-    let mut system = System::new(quota);
+    let mut cluster = Cluster::new(quota);
     let mut next_change = START;
     let mut at = START;
     while at < START + Duration::from_secs(24) {
@@ -220,54 +229,63 @@
             next_change = at + Duration::from_secs_f64(0.9 + random.fraction() * 1.2);
             let owner = (random.fraction() * NODES as f64) as usize;
             if random.fraction() < 0.34 {
-                system.nodes[owner].restart(at);
+                cluster.nodes[owner].restart(at);
             }
             if random.fraction() < 0.2 {
                 let entry = (random.fraction() * NODES as f64) as usize;
-                system.nodes[entry].restart(at);
+                cluster.nodes[entry].restart(at);
             }
-            system.views = [owner; NODES];
+            cluster.owner_views = [owner; NODES];
         }
         let entry = (random.fraction() * NODES as f64) as usize;
-        let is_asked = !is_within_quota || random.fraction() < 0.5;
-        if is_asked {
-            system.request(at, entry, units);
+        let sends_request = !is_within_quota || random.fraction() < 0.5;
+        if sends_request {
+            cluster.request(at, entry, units);
         }
         at += STEP;
     }
-    system
+    cluster
 }
 
 #[test]
 fn up_to_eight_owners_in_a_window_stay_within_the_tolerance() {
     for (quota, units) in [(LARGE, 9_000), (SMALL, 200)] {
         for seed in 1..=40 {
-            let most = play_changes(seed, quota, units, false).most_in_window;
+            let max_units = simulate_owner_changes(seed, quota, units, false).max_units_in_window;
             let tolerated = quota.tolerated();
-            assert!(most <= tolerated, "seed {seed}: {most} of {tolerated}");
-            let plain = quota.units_per_s * WINDOW.as_secs_f64();
-            assert!(most > plain * 0.8, "seed {seed}: {most} of {plain}");
+            assert!(
+                max_units <= tolerated,
+                "seed {seed}: {max_units} of {tolerated}"
+            );
+            let unit_rate_only = quota.units_per_s * WINDOW.as_secs_f64();
+            assert!(
+                max_units > unit_rate_only * 0.8,
+                "seed {seed}: {max_units} of {unit_rate_only}"
+            );
         }
     }
 }
 
 #[test]
-fn an_account_within_its_quota_is_hardly_refused_over_changes_of_owner() {
+fn an_account_within_its_quota_is_rarely_refused_across_owner_changes() {
     let (mut refused, mut asked) = (0, 0);
     for seed in 1..=40 {
-        // Half of the quota, in requests of a tenth of the burst at most.
-        let system = play_changes(seed, LARGE, 1_450, true);
-        refused += system.refused;
-        asked += system.asked;
+        // About half of the quota, in requests of a hundredth of the burst.
+        let cluster = simulate_owner_changes(seed, LARGE, 1_450, true);
+        refused += cluster.refused;
+        asked += cluster.requests;
     }
     assert!(refused * 100 < asked, "{refused} of {asked}");
 }
 
-/// The series of owners of soak seed 7, by each node's log (seconds, node, owner): six owners within 5 s, of
-/// which one was killed and came back, and a second one beside them for some 0.3 s at a time.
+/// Replays the changes of owner in the soak of seed 7, which exceeded a quota.
+///
+/// There are six owners in turn within 5 s. One of them is killed and restarts, and at times a second owner grants
+/// beside the first one for some 0.3 s. `owner_views` lists the time in milliseconds, the node, and its owner from
+/// then on.
 #[test]
-fn the_owners_of_a_soak_that_exceeded_a_quota_stay_within_the_tolerance() {
-    let views: [(u64, usize, usize); 27] = [
+fn the_owner_changes_of_soak_seed_7_stay_within_the_tolerance() {
+    let owner_views: [(u64, usize, usize); 27] = [
         (0, 0, 1),
         (0, 1, 1),
         (0, 2, 1),
@@ -296,10 +314,11 @@
         (20_000, 1, 1),
         (20_000, 2, 1),
     ];
-    // Kills and starts of node 1, and how many nodes each sees, as logged.
-    let starts = [(5_330, 1), (9_839, 1)];
+    // Restarts and kills of node 1 (milliseconds, node), and how many nodes a node sees from then on (milliseconds,
+    // node, visible nodes).
+    let restarts = [(5_330, 1), (9_839, 1)];
     let kills = [(4_900, 1), (9_424, 1)];
-    let reaches = [
+    let visibility_changes = [
         (6_572, 1, 1),
         (6_572, 2, 2),
         (6_573, 0, 2),
@@ -315,24 +334,30 @@
         (9_471, 3, 3),
         (9_561, 0, 3),
     ];
-    let mut system = System::new(SMALL);
+    let mut cluster = Cluster::new(SMALL);
     for at_ms in (0..16_000).step_by(10) {
         let at = START + Duration::from_millis(at_ms);
         let is_due = |event_ms: u64| (at_ms..at_ms + 10).contains(&event_ms);
         for (_, node) in kills.iter().filter(|(event_ms, _)| is_due(*event_ms)) {
-            system.nodes[*node].is_up = false;
+            cluster.nodes[*node].is_up = false;
         }
-        for (_, node) in starts.iter().filter(|(event_ms, _)| is_due(*event_ms)) {
-            system.nodes[*node].restart(at);
+        for (_, node) in restarts.iter().filter(|(event_ms, _)| is_due(*event_ms)) {
+            cluster.nodes[*node].restart(at);
         }
-        for (_, node, visible) in reaches.iter().filter(|(event_ms, ..)| is_due(*event_ms)) {
-            system.see(at, *node, *visible);
+        for (_, node, visible) in visibility_changes
+            .iter()
+            .filter(|(event_ms, ..)| is_due(*event_ms))
+        {
+            cluster.set_visible(at, *node, *visible);
         }
-        for (_, node, owner) in views.iter().filter(|(event_ms, ..)| is_due(*event_ms)) {
-            system.views[*node] = *owner;
+        for (_, node, owner) in owner_views
+            .iter()
+            .filter(|(event_ms, ..)| is_due(*event_ms))
+        {
+            cluster.owner_views[*node] = *owner;
         }
-        system.request(at, (at_ms / 10) as usize % NODES, 200);
+        cluster.request(at, (at_ms / 10) as usize % NODES, 200);
     }
-    let (most, tolerated) = (system.most_in_window, SMALL.tolerated());
-    assert!(most <= tolerated, "{most} of {tolerated}");
+    let (max_units, tolerated) = (cluster.max_units_in_window, SMALL.tolerated());
+    assert!(max_units <= tolerated, "{max_units} of {tolerated}");
 }
--- a/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
@@ -1,4 +1,6 @@
-//! Upstreams that refuse requests and want rest, which all that reaches them meanwhile is refused by.
+//! Upstreams that refuse requests and ask for back-off.
+//!
+//! Guards against requests that are placed at such an upstream during the back-off, where they would be refused too.
 
 mod support;
 
@@ -9,119 +11,124 @@
     },
     std::time::Duration,
     support::{
-        SERVICE, dispatcher, plain_ask,
-        verdicts::{AT, ask, ended, granted_to, refusal},
+        SERVICE, dispatcher, plain_request,
+        verdicts::{START, granted_upstream, refusal, request_slot, run_ended},
     },
 };
 
-const REST: Duration = Duration::from_secs(3);
+const BACK_OFF: Duration = Duration::from_secs(3);
 
-/// Two nodes.
+/// Incarnations of three nodes that send requests.
 const FIRST: NodeIncarnation = 1;
 const SECOND: NodeIncarnation = 2;
 const THIRD: NodeIncarnation = 3;
 
-fn resting(upstream: &str, node: NodeIncarnation, age: Duration) -> Event {
+fn back_off_notice(upstream: &str, node: NodeIncarnation, age: Duration) -> Event {
     Event::NoticeReceived(UpstreamNotice {
         service: SERVICE.into(),
         upstream: upstream.into(),
         kind: NoticeKind::BackOff {
             node,
-            duration: REST,
+            duration: BACK_OFF,
         },
         age,
     })
 }
 
-fn ask_of(node: NodeIncarnation, number: u32) -> SlotRequest {
-    plain_ask(run_id(node, number), 0)
+fn request_of(node: NodeIncarnation, number: u32) -> SlotRequest {
+    plain_request(run_id(node, number), 0)
 }
 
-/// Takes a place for a node's request, which the upstream refuses with a rest.
+/// Requests a slot for a node; the granted upstream refuses the request and asks for back-off. Returns that upstream.
 fn refuse(owner: &mut Dispatcher, at: Duration, node: NodeIncarnation, number: u32) -> String {
-    let upstream = granted_to(ask(owner, at, ask_of(node, number)));
-    owner.reduce(at, resting(&upstream, node, Duration::ZERO));
-    owner.reduce(at, ended(run_id(node, number), RunOutcome::Rejected));
+    let upstream = granted_upstream(request_slot(owner, at, request_of(node, number)));
+    owner.reduce(at, back_off_notice(&upstream, node, Duration::ZERO));
+    owner.reduce(at, run_ended(run_id(node, number), RunOutcome::Rejected));
     upstream
 }
 
 #[test]
-fn no_node_sends_to_an_upstream_that_wants_rest_from_one_while_others_are_left() {
+fn no_node_uses_an_upstream_that_asked_one_node_to_back_off_while_others_are_available() {
     let mut owner = dispatcher(2, 4);
-    owner.reduce(AT, resting("engine-0", FIRST, Duration::ZERO));
+    owner.reduce(START, back_off_notice("engine-0", FIRST, Duration::ZERO));
     for number in 0..4 {
         let node = FIRST + number % 2;
-        let place = ask(&mut owner, AT + REST / 2, ask_of(node, number));
-        assert_eq!(granted_to(place), "engine-1");
+        let decision = request_slot(&mut owner, START + BACK_OFF / 2, request_of(node, number));
+        assert_eq!(granted_upstream(decision), "engine-1");
     }
 }
 
 #[test]
-fn one_request_at_a_time_shows_whether_an_upstream_accepts_again_after_its_rest() {
+fn after_a_back_off_one_request_probes_whether_the_upstream_accepts_again() {
     let mut owner = dispatcher(1, 4);
-    refuse(&mut owner, AT, FIRST, 1);
-    refuse(&mut owner, AT, SECOND, 1);
-    let later = AT + REST;
-    granted_to(ask(&mut owner, later, ask_of(FIRST, 2)));
-    assert_eq!(ask(&mut owner, later, ask_of(SECOND, 2)), None);
-    // It was not refused, so that the others follow.
+    refuse(&mut owner, START, FIRST, 1);
+    refuse(&mut owner, START, SECOND, 1);
+    let later = START + BACK_OFF;
+    granted_upstream(request_slot(&mut owner, later, request_of(FIRST, 2)));
+    assert_eq!(request_slot(&mut owner, later, request_of(SECOND, 2)), None);
+    // The upstream has not refused the first request within 300 ms, so the waiting one follows.
     let effects = owner.reduce(later + Duration::from_millis(300), Event::Ticked);
     assert_eq!(effects.len(), 1);
     for number in 3..5 {
-        let place = ask(&mut owner, later + REST / 4, ask_of(SECOND, number));
-        granted_to(place);
+        let decision = request_slot(&mut owner, later + BACK_OFF / 4, request_of(SECOND, number));
+        granted_upstream(decision);
     }
 }
 
 #[test]
-fn a_rest_binds_the_refused_node_also_where_no_other_upstream_is_left() {
+fn a_back_off_applies_to_the_refused_node_even_when_no_other_upstream_is_available() {
     let mut owner = dispatcher(1, 4);
-    refuse(&mut owner, AT, FIRST, 1);
-    let meanwhile = AT + REST / 3;
-    let told = refusal(ask(&mut owner, meanwhile, ask_of(FIRST, 2)));
-    assert_eq!(told.reason, RefusalReason::Overloaded);
-    // Told to come back when the rest is over.
-    assert!(told.retry_after >= REST / 2, "{:?}", told.retry_after);
-    // It has not refused the other node, which tries it; then it has refused both.
+    refuse(&mut owner, START, FIRST, 1);
+    let meanwhile = START + BACK_OFF / 3;
+    let refused = refusal(request_slot(&mut owner, meanwhile, request_of(FIRST, 2)));
+    assert_eq!(refused.reason, RefusalReason::Overloaded);
+    // The caller is told to retry after the back-off.
+    assert!(
+        refused.retry_after >= BACK_OFF / 2,
+        "{:?}",
+        refused.retry_after
+    );
+    // The upstream has not refused the second node yet, so this node may try it. An upstream that has refused two nodes
+    // counts as refusing all.
     refuse(&mut owner, meanwhile, SECOND, 1);
     for node in [FIRST, SECOND, THIRD] {
-        refusal(ask(&mut owner, meanwhile, ask_of(node, 9)));
+        refusal(request_slot(&mut owner, meanwhile, request_of(node, 9)));
     }
 }
 
 #[test]
-fn what_waits_is_not_placed_at_an_upstream_that_wants_rest_meanwhile() {
+fn a_waiting_request_is_not_placed_at_an_upstream_that_asks_for_back_off() {
     let mut owner = dispatcher(1, 1);
-    granted_to(ask(&mut owner, AT, ask_of(FIRST, 1)));
-    assert_eq!(ask(&mut owner, AT, ask_of(FIRST, 2)), None);
-    owner.reduce(AT, resting("engine-0", FIRST, Duration::ZERO));
-    let effects = owner.reduce(AT, ended(run_id(FIRST, 1), RunOutcome::Rejected));
+    granted_upstream(request_slot(&mut owner, START, request_of(FIRST, 1)));
+    assert_eq!(request_slot(&mut owner, START, request_of(FIRST, 2)), None);
+    owner.reduce(START, back_off_notice("engine-0", FIRST, Duration::ZERO));
+    let effects = owner.reduce(START, run_ended(run_id(FIRST, 1), RunOutcome::Rejected));
     assert!(effects.is_empty(), "{effects:?}");
 }
 
 #[test]
-fn a_new_owner_knows_how_much_of_a_rest_is_left() {
+fn a_new_owner_knows_how_much_of_a_back_off_is_left() {
     let mut first = dispatcher(2, 4);
-    first.reduce(AT, resting("engine-0", FIRST, REST / 3));
+    first.reduce(START, back_off_notice("engine-0", FIRST, BACK_OFF / 3));
     let mut second = dispatcher(2, 4);
-    for notice in first.notices(AT) {
-        second.reduce(AT, Event::NoticeReceived(notice));
+    for notice in first.notices(START) {
+        second.reduce(START, Event::NoticeReceived(notice));
     }
     let upstream = "engine-0".into();
-    let is_resting = |at| second.wants_back_off_from(at, &upstream, FIRST);
-    assert!(is_resting(AT + REST / 2));
-    assert!(!is_resting(AT + REST));
+    let is_backing_off = |at| second.wants_back_off_from(at, &upstream, FIRST);
+    assert!(is_backing_off(START + BACK_OFF / 2));
+    assert!(!is_backing_off(START + BACK_OFF));
 }
 
 #[test]
-fn a_rest_without_end_is_no_fault() {
+fn an_endless_back_off_is_handled() {
     let mut owner = dispatcher(2, 4);
     let kind = NoticeKind::BackOff {
         node: FIRST,
         duration: Duration::MAX,
     };
     owner.reduce(
-        AT,
+        START,
         Event::NoticeReceived(UpstreamNotice {
             service: SERVICE.into(),
             upstream: "engine-0".into(),
@@ -129,7 +136,7 @@
             age: Duration::ZERO,
         }),
     );
-    let place = ask(&mut owner, AT + REST, ask_of(SECOND, 1));
-    assert_eq!(granted_to(place), "engine-1");
-    assert_eq!(owner.notices(AT + REST).len(), 1);
+    let decision = request_slot(&mut owner, START + BACK_OFF, request_of(SECOND, 1));
+    assert_eq!(granted_upstream(decision), "engine-1");
+    assert_eq!(owner.notices(START + BACK_OFF).len(), 1);
 }
--- a/crates/dragonflystep_dispatch/tests/rollout_windows.rs
+++ b/crates/dragonflystep_dispatch/tests/rollout_windows.rs
@@ -1,6 +1,7 @@
-//! The analysis of a roll-out beside a simpler one: fixed windows with fixed thresholds, on the same plays.
+//! Compares the sequential analysis of roll-outs with fixed windows and fixed thresholds, on the same simulations.
 //!
-//! `DRAGONFLYSTEP_SEEDS=0..50` plays others by hand and prints a table.
+//! Guards against a sequential analysis that decides wrongly more often than this simpler method.
+//! `DRAGONFLYSTEP_SEEDS=0..50` selects other seeds, and `--nocapture` shows the table of results.
 
 mod support;
 
@@ -8,21 +9,23 @@
     dragonflystep_dispatch::RolloutPhase,
     std::ops::Range,
     support::rollout_player::{
-        Fault, GOOD, Outcome, Player, RunSample, Site, application, engines, failing, seeds, slow,
+        Deployment, Fault, GOOD, Outcome, Player, RunSample, application, engines, failing, seeds,
+        slow,
     },
 };
 
 /// Length of a window, in seconds.
 const WINDOW_S: f64 = 2.0;
 
-/// Answers of the new version in a window by which it is judged.
-const LEAST_ANSWERS: usize = 10;
+/// Fewest answers of each version on a route for which a window is evaluated.
+const MIN_ANSWERS: usize = 10;
 
-/// Share of answers that may fail beyond that of the old version, and how many times as long they may take.
+/// Share of answers that may fail beyond that of the old version, and factor by which their mean time may exceed
+/// that of the old version.
 const TOLERATED_FAILURES: f64 = 0.1;
 const TOLERATED_SLOWDOWN: f64 = 1.5;
 
-/// Share that failed, and mean time of the others; for streams the time of an event.
+/// Returns the share of runs that failed and the mean time of the others, which for streams is the time per event.
 fn rates(samples: &[RunSample]) -> (f64, f64) {
     let failed = samples.iter().filter(|sample| sample.has_failed).count();
     let served = samples.iter().filter(|sample| !sample.has_failed);
@@ -32,22 +35,22 @@
     (failed as f64 / samples.len().max(1) as f64, mean_s)
 }
 
-/// When fixed windows would have taken the version for bad, in seconds after the order.
-fn bad_by_windows(site: &Site, outcome: &Outcome) -> Option<f64> {
-    let last_s = outcome.ends.last().map_or(0.0, |end| end.at_s);
+/// Returns when fixed windows find the version bad, in seconds after the order, or `None` if they do not.
+fn found_bad_by_windows_s(deployment: &Deployment, outcome: &Outcome) -> Option<f64> {
+    let last_s = outcome.samples.last().map_or(0.0, |sample| sample.at_s);
     let windows = (1..).map(|number| f64::from(number) * WINDOW_S);
     windows.take_while(|end_s| *end_s < last_s).find(|end_s| {
-        (0..site.routes.len()).any(|route| {
-            let of = |is_new: bool| -> Vec<RunSample> {
-                let ends = outcome.ends.iter().filter(|end| {
-                    end.route == route
-                        && end.is_new == is_new
-                        && (end_s - WINDOW_S..*end_s).contains(&end.at_s)
+        (0..deployment.routes.len()).any(|route| {
+            let samples_of = |is_new: bool| -> Vec<RunSample> {
+                let samples = outcome.samples.iter().filter(|sample| {
+                    sample.route == route
+                        && sample.is_new == is_new
+                        && (end_s - WINDOW_S..*end_s).contains(&sample.at_s)
                 });
-                ends.copied().collect()
+                samples.copied().collect()
             };
-            let (new, old) = (of(true), of(false));
-            if new.len() < LEAST_ANSWERS || old.len() < LEAST_ANSWERS {
+            let (new, old) = (samples_of(true), samples_of(false));
+            if new.len() < MIN_ANSWERS || old.len() < MIN_ANSWERS {
                 return false;
             }
             let ((new_failed, new_s), (old_failed, old_s)) = (rates(&new), rates(&old));
@@ -56,28 +59,34 @@
     })
 }
 
-/// Wrong verdicts of both ways.
-fn compare(name: &str, site: &Site, fault: Fault, is_bad: bool, usual: Range<u64>) -> (u32, u32) {
+/// Returns the number of wrong decisions of the sequential analysis and of the fixed windows.
+fn compare(
+    name: &str,
+    deployment: &Deployment,
+    fault: Fault,
+    is_bad: bool,
+    usual: Range<u64>,
+) -> (u32, u32) {
     let (mut sequential, mut windows) = (0, 0);
     let (mut decided_s, mut found_s, mut found) = (0.0, 0.0, 0);
     let seeds = seeds(usual);
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let outcome = Player::new(site, fault, seed).play();
+        let outcome = Player::new(deployment, fault, seed).play();
         let is_rolled_back = outcome.phase == Some(RolloutPhase::RolledBack);
         sequential += u32::from(is_rolled_back != is_bad);
         decided_s += outcome.decided_at_s;
-        let by_windows = bad_by_windows(site, &outcome);
+        let by_windows = found_bad_by_windows_s(deployment, &outcome);
         windows += u32::from(by_windows.is_some() != is_bad);
         if let Some(at_s) = by_windows {
             found_s += at_s;
             found += 1;
         }
     }
-    #[expect(clippy::print_stdout, reason = "the table of plays by hand")]
+    #[expect(clippy::print_stdout, reason = "a table for runs with other seeds")]
     {
         println!(
-            "{name}: of {count} wrong: sequential {sequential}, decided after {:.1} s; windows {windows}, found after {:.1} s",
+            "{name}: wrong decisions in {count} simulations: sequential {sequential}, decided after {:.1} s; windows {windows}, found bad after {:.1} s",
             decided_s / count as f64,
             found_s / f64::from(found.max(1))
         );
@@ -88,7 +97,7 @@
 #[test]
 fn the_sequential_analysis_is_wrong_no_more_often_than_fixed_windows() {
     let (engines, application) = (engines(), application());
-    let kinds = [
+    let cases = [
         ("good engines", &engines, GOOD, false),
         ("good application", &application, GOOD, false),
         ("engines, a fifth fail", &engines, failing(0.2), true),
@@ -108,10 +117,13 @@
         ),
     ];
     let (mut sequential, mut windows) = (0, 0);
-    for (name, site, fault, is_bad) in kinds {
-        let wrong = compare(name, site, fault, is_bad, 0..2);
+    for (name, deployment, fault, is_bad) in cases {
+        let wrong = compare(name, deployment, fault, is_bad, 0..2);
         sequential += wrong.0;
         windows += wrong.1;
     }
-    assert!(sequential <= windows, "{sequential} against {windows}");
+    assert!(
+        sequential <= windows,
+        "wrong decisions: sequential analysis {sequential}, fixed windows {windows}"
+    );
 }
--- a/crates/dragonflystep_dispatch/tests/rollouts.rs
+++ b/crates/dragonflystep_dispatch/tests/rollouts.rs
@@ -1,6 +1,8 @@
-//! Roll-outs of good and bad versions, in virtual time: what is decided, when, and how many requests a bad version gets.
+//! Roll-outs of good and bad versions in virtual time.
 //!
-//! `DRAGONFLYSTEP_SEEDS=0..200` plays others by hand and prints a table.
+//! Guards against wrong or late decisions, against more requests to a bad version than permitted, and against
+//! requests to a version that a decision has ruled out. `DRAGONFLYSTEP_SEEDS=0..200` selects other seeds,
+//! and `--nocapture` shows the table of results.
 
 mod support;
 
@@ -10,31 +12,38 @@
     support::{
         SERVICE, limits,
         rollout_player::{
-            Fault, GOOD, ORDER_LASTS_S, Outcome, Player, Site, application, at, engines, failing,
-            seeds, slow, versions,
+            Deployment, Fault, GOOD, ORDER_DURATION_S, Outcome, Player, application, at, engines,
+            failing, seeds, slow, upstream_entries,
         },
     },
 };
 
-/// Requests that a bad version may get.
+/// Most requests that a bad version may get.
 fn permitted(outcome: &Outcome) -> f64 {
     outcome.requests as f64 * limits().rollout.exposed_share + limits().rollout.exposed_slack
 }
 
-fn check(name: &str, site: &Site, fault: Fault, expected: RolloutPhase, usual: Range<u64>) {
-    let (mut worst, mut slowest, mut cut) = (0.0_f64, 0.0_f64, 0);
+/// Simulates a roll-out for each seed and checks the decision and the exposure.
+fn check(
+    name: &str,
+    deployment: &Deployment,
+    fault: Fault,
+    expected: RolloutPhase,
+    usual: Range<u64>,
+) {
+    let (mut max_exposure, mut max_decision_s, mut old_runs_at_decision) = (0.0_f64, 0.0_f64, 0);
     let mut missed = Vec::new();
     let seeds = seeds(usual);
     for seed in seeds.clone() {
-        let outcome = Player::new(site, fault, seed).play();
+        let outcome = Player::new(deployment, fault, seed).play();
         let exposed = outcome.exposed as f64 / permitted(&outcome);
-        worst = worst.max(exposed);
-        slowest = slowest.max(outcome.decided_at_s);
-        cut = cut.max(outcome.cut);
+        max_exposure = max_exposure.max(exposed);
+        max_decision_s = max_decision_s.max(outcome.decided_at_s);
+        old_runs_at_decision = old_runs_at_decision.max(outcome.old_runs_at_decision);
         assert!(exposed <= 1.0, "{name}, seed {seed}: {outcome:?}");
         assert_eq!(outcome.misplaced, 0, "{name}, seed {seed}: {outcome:?}");
         if let Some(fiftieth) = outcome
-            .fiftieth_bad_at_s
+            .fiftieth_affected_at_s
             .filter(|_| expected == RolloutPhase::RolledBack)
         {
             let after_s = outcome.last_exposed_at_s - fiftieth;
@@ -44,10 +53,10 @@
             missed.push(format!("seed {seed}: {outcome:?}"));
         }
     }
-    #[expect(clippy::print_stdout, reason = "the table of plays by hand")]
+    #[expect(clippy::print_stdout, reason = "a table for runs with other seeds")]
     {
         println!(
-            "{name}: {} of {} wrong, exposed at most {worst:.2} of what is permitted, decided after {slowest:.1} s, {cut} old runs cut",
+            "{name}: {} of {} wrong, at most {max_exposure:.2} of the permitted exposure, decided after at most {max_decision_s:.1} s, at most {old_runs_at_decision} runs on the old version at the decision",
             missed.len(),
             seeds.end - seeds.start
         );
@@ -73,18 +82,18 @@
         usual,
     );
     let outcome = Player::new(&engines(), GOOD, 3).play();
-    assert!(outcome.decided_at_s < ORDER_LASTS_S, "{outcome:?}");
+    assert!(outcome.decided_at_s < ORDER_DURATION_S, "{outcome:?}");
 }
 
 #[test]
 fn a_version_whose_short_calls_take_a_few_milliseconds_longer_is_completed() {
-    let site = Site {
-        plain_ms: 1.0,
+    let deployment = Deployment {
+        mean_call_ms: 1.0,
         ..application()
     };
     check(
         "calls of 1 ms, 2.7 times slower",
-        &site,
+        &deployment,
         slow(1.0, 2.7),
         RolloutPhase::Completed,
         0..4,
@@ -159,14 +168,14 @@
 
 #[test]
 fn a_version_that_is_bad_on_one_route_is_rolled_back() {
-    for (site, route) in [(engines(), "report"), (application(), "stock")] {
+    for (deployment, route) in [(engines(), "report"), (application(), "stock")] {
         let fault = Fault {
             route: Some(route),
             ..failing(0.5)
         };
         check(
             &format!("{route} fails"),
-            &site,
+            &deployment,
             fault,
             RolloutPhase::RolledBack,
             0..2,
@@ -177,7 +186,7 @@
         };
         check(
             &format!("{route} slow"),
-            &site,
+            &deployment,
             fault,
             RolloutPhase::RolledBack,
             0..2,
@@ -188,7 +197,7 @@
 #[test]
 fn a_version_that_is_bad_under_load_is_rolled_back() {
     let fault = Fault {
-        above_runs: 3,
+        min_runs: 3,
         ..failing(0.5)
     };
     check(
@@ -199,7 +208,7 @@
         0..2,
     );
     let fault = Fault {
-        above_runs: 2,
+        min_runs: 2,
         ..failing(0.5)
     };
     check(
@@ -212,9 +221,9 @@
 }
 
 #[test]
-fn an_owner_that_sees_no_majority_decides_nothing_and_sends_no_canaries() {
-    let site = engines();
-    let mut player = Player::new(&site, GOOD, 1);
+fn an_owner_without_a_majority_makes_no_decision_and_sends_no_canaries() {
+    let deployment = engines();
+    let mut player = Player::new(&deployment, GOOD, 1);
     let visibility = Visibility {
         visible: 3,
         known: 10,
@@ -229,11 +238,11 @@
 
 #[test]
 fn an_order_without_upstreams_of_its_version_is_rolled_back_at_its_end() {
-    let site = Site {
+    let deployment = Deployment {
         upstreams: 8,
         ..application()
     };
-    let mut player = Player::new(&site, GOOD, 1);
+    let mut player = Player::new(&deployment, GOOD, 1);
     player.reduce(
         0.0,
         Event::RolloutOrdered(RolloutOrder {
@@ -242,62 +251,65 @@
         }),
     );
     for index in 0..500 {
-        player.ask(f64::from(index) * 0.01);
+        player.send_request(f64::from(index) * 0.01);
     }
     assert_eq!(player.outcome.phase, Some(RolloutPhase::RolledBack));
 }
 
 #[test]
-fn what_was_decided_elsewhere_holds() {
-    let site = application();
+fn a_decision_of_another_owner_is_followed() {
+    let deployment = application();
     for (phase, new_only) in [
         (RolloutPhase::Completed, true),
         (RolloutPhase::RolledBack, false),
     ] {
-        let mut player = Player::new(&site, GOOD, 1);
-        let all = versions(&site, true);
+        let mut player = Player::new(&deployment, GOOD, 1);
+        let all = upstream_entries(&deployment, true);
         player.reduce(0.0, Event::RolloutOrdered(player.order()));
         player.reduce(0.0, Event::UpstreamsChanged(all));
         player.reduce(0.0, Event::RolloutSettled(SERVICE.into(), 7, phase));
         for index in 0..30 {
-            player.ask(f64::from(index) * 0.001);
+            player.send_request(f64::from(index) * 0.001);
         }
-        assert!(!player.flying.is_empty());
+        assert!(!player.in_flight.is_empty());
         assert!(
-            player.flying.values().all(|run| run.is_new == new_only),
+            player.in_flight.values().all(|run| run.is_new == new_only),
             "{phase:?}"
         );
     }
 }
 
 #[test]
-fn upstreams_of_a_version_that_nobody_ordered_yet_get_nothing_at_first() {
-    let site = application();
-    let mut player = Player::new(&site, GOOD, 1);
-    let mut all = versions(&site, true);
+fn upstreams_of_a_version_without_an_order_get_no_requests_at_first() {
+    let deployment = application();
+    let mut player = Player::new(&deployment, GOOD, 1);
+    let mut all = upstream_entries(&deployment, true);
     all[4].phase = UpstreamPhase::Draining;
     player.reduce(1.0, Event::UpstreamsChanged(all));
     for index in 0..30 {
-        player.ask(1.0 + f64::from(index) * 0.001);
+        player.send_request(1.0 + f64::from(index) * 0.001);
     }
-    assert!(player.flying.values().all(|run| !run.is_new));
+    assert!(player.in_flight.values().all(|run| !run.is_new));
 }
 
 #[test]
-fn a_version_that_comes_without_an_order_after_a_completed_one_is_used() {
-    let site = application();
-    let mut player = Player::new(&site, GOOD, 1);
+fn a_version_without_an_order_that_replaces_a_completed_one_is_used() {
+    let deployment = application();
+    let mut player = Player::new(&deployment, GOOD, 1);
     player.reduce(0.0, Event::RolloutOrdered(player.order()));
-    player.reduce(0.0, Event::UpstreamsChanged(versions(&site, true)));
+    player.reduce(
+        0.0,
+        Event::UpstreamsChanged(upstream_entries(&deployment, true)),
+    );
     let completed = Event::RolloutSettled(SERVICE.into(), 7, RolloutPhase::Completed);
     player.reduce(0.0, completed);
-    let mut released = versions(&site, false);
-    for one in &mut released {
-        one.version = "v3".into();
+    let mut released = upstream_entries(&deployment, false);
+    for upstream in &mut released {
+        upstream.version = "v3".into();
     }
     player.reduce(1.0, Event::UpstreamsChanged(released));
     for index in 0..10 {
-        player.ask(4.0 + f64::from(index) * 0.001);
+        player.send_request(4.0 + f64::from(index) * 0.001);
     }
-    assert!(!player.flying.is_empty());
+    assert!(!player.in_flight.is_empty());
 }
--- a/crates/dragonflystep_dispatch/tests/routing.rs
+++ b/crates/dragonflystep_dispatch/tests/routing.rs
@@ -1,4 +1,5 @@
-//! Routes by host and longest prefix, keys by account, services by weight, ranks by account and route.
+//! Selection of the route by host and longest prefix, of the account by key, of the service by weight, and of the
+//! tier by account and route.
 
 use {
     dragonflystep_dispatch::{
@@ -60,48 +61,56 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let table = table();
     let name = |path| {
         let found = table
             .find("a.example", path, Some("k1"), 0)
-            .expect("a route");
+            .expect("a route matches");
         found.route.name.to_string()
     };
     assert_eq!(name("/x/y/z"), "long");
     assert_eq!(name("/x/z"), "short");
     let none = table.find("a.example", "/xy", Some("k1"), 0);
-    assert_eq!(none.expect_err("no route"), RoutingError::NoRoute);
-    let port = table.find("A.example:80", "/x/", Some("k1"), 0);
-    assert_eq!(&*port.expect("a route").route.name, "short");
+    assert_eq!(none.expect_err("no route matches"), RoutingError::NoRoute);
+    let with_port = table.find("A.example:80", "/x/", Some("k1"), 0);
+    assert_eq!(&*with_port.expect("a route matches").route.name, "short");
 }
 
 #[test]
-fn keys_decide_the_account_and_are_needed_where_a_route_says_so() {
+fn keys_identify_the_account_and_are_required_unless_the_route_is_anonymous() {
     let table = table();
     let found = table
         .find("a.example", "/x/", Some("k2"), 0)
-        .expect("a route");
-    assert_eq!(&*found.account.expect("an account").name, "pump");
+        .expect("a route matches");
+    assert_eq!(
+        &*found.account.expect("the key identifies an account").name,
+        "pump"
+    );
     for key in [None, Some("k3")] {
         let refused = table.find("a.example", "/x/", key, 0);
-        assert_eq!(refused.expect_err("no key"), RoutingError::UnknownKey);
+        assert_eq!(
+            refused.expect_err("the key is missing or unknown"),
+            RoutingError::UnknownKey
+        );
     }
     assert!(
         table
             .find("b.example", "/", None, 0)
-            .expect("a route")
+            .expect("a route matches")
             .account
             .is_none()
     );
 }
 
 #[test]
-fn weights_share_a_route_among_services() {
+fn weights_split_a_route_among_services() {
     let table = table();
     let small = (0..1_000)
         .filter(|draw| {
-            let found = table.find("b.example", "/", None, *draw).expect("a route");
+            let found = table
+                .find("b.example", "/", None, *draw)
+                .expect("a route matches");
             &*found.service == "small"
         })
         .count();
@@ -109,18 +118,18 @@
 }
 
 #[test]
-fn the_rank_of_the_account_goes_before_that_of_the_route() {
+fn the_tier_of_the_account_overrides_that_of_the_route() {
     let table = table();
     let tier = |key| {
         table
             .find("a.example", "/x/", Some(key), 0)
-            .expect("a route")
+            .expect("a route matches")
             .tier()
     };
     assert!(tier("k1") < tier("k2"));
 }
 
-fn route_of(prefix: &str) -> Route {
+fn anonymous_route(prefix: &str) -> Route {
     Route {
         is_anonymous: true,
         ..route(prefix, "a.example", prefix)
@@ -129,12 +138,12 @@
 
 proptest! {
     #[test]
-    fn the_longest_prefix_wins_whatever_its_last_letter(
+    fn the_longest_prefix_wins_whatever_its_last_character(
         prefixes in proptest::collection::hash_set("/([ab]{0,2}/?){0,3}", 0..12),
         path in "/([ab]{0,2}/?){0,4}",
     ) {
         let table = RoutingTable::new(Catalogue {
-            routes: prefixes.iter().map(|prefix| route_of(prefix)).collect(),
+            routes: prefixes.iter().map(|prefix| anonymous_route(prefix)).collect(),
             ..Catalogue::default()
         });
         let expected = prefixes
--- a/crates/dragonflystep_dispatch/tests/support/accounts.rs
+++ b/crates/dragonflystep_dispatch/tests/support/accounts.rs
@@ -1,11 +1,11 @@
-//! An account with a quota in tokens.
+//! A catalogue with an account whose quota is in tokens.
 
 use {
     super::catalogue,
     dragonflystep_dispatch::{Account, AccountQuota, Catalogue, QuotaUnit},
 };
 
-/// The usual catalogue with one account, `mill`.
+/// Returns the default test catalogue with one account, `mill`, that has the given quota.
 pub fn catalogue_with_quota(units_per_s: f64, burst_units: f64) -> Catalogue {
     let account = Account {
         name: "mill".into(),
--- a/crates/dragonflystep_dispatch/tests/support/rollout_player.rs
+++ b/crates/dragonflystep_dispatch/tests/support/rollout_player.rs
@@ -1,7 +1,7 @@
-//! Plays an order of a roll-out in virtual time, before upstreams of two versions of which the new one may be bad.
+//! Simulates a roll-out in virtual time, on upstreams of two versions of which the new one may be faulty.
 
 use {
-    super::{Random, SERVICE, catalogue, dispatcher, plain_ask, upstream},
+    super::{Random, SERVICE, catalogue, dispatcher, plain_request, upstream},
     dragonflystep_dispatch::{
         Dispatcher, Event, RolloutOrder, RolloutPhase, RunId, RunOutcome, RunReport, SlotDecision,
         SlotRequest, Upstream, WorkSize,
@@ -15,37 +15,39 @@
     },
 };
 
-/// Time that the operator gives an order.
-pub const ORDER_LASTS_S: f64 = 12.0;
+/// Time from the order to its end, by which it has to be decided.
+pub const ORDER_DURATION_S: f64 = 12.0;
 
-/// When the order becomes known.
+/// When the owner learns of the order.
 pub const ORDERED_AT_S: f64 = 3.0;
 
-/// What makes a version bad.
+/// The way in which the new version is worse than the old one.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Share of its answers that fail.
+    /// Share of its answers that fail because of the fault.
     pub failing_share: f64,
     /// Share of its answers that take `slow_factor` times as long.
     pub slow_share: f64,
     pub slow_factor: f64,
-    /// Seconds after the order from which on it shows.
+    /// Seconds after the order from which on the fault has an effect.
     pub from_s: f64,
-    /// Runs at an upstream from which on it shows.
-    pub above_runs: usize,
-    /// The only route on which it shows.
+    /// Number of runs at an upstream, the new one included, from which on the fault has an effect.
+    pub min_runs: usize,
+    /// The only route on which the fault has an effect; absent if it affects all routes.
     pub route: Option<&'static str>,
 }
 
+/// No fault: the new version behaves like the old one.
 pub const GOOD: Fault = Fault {
     failing_share: 0.0,
     slow_share: 0.0,
     slow_factor: 1.0,
     from_s: 0.0,
-    above_runs: 0,
+    min_runs: 0,
     route: None,
 };
 
+/// A fault by which a share of the answers fails.
 pub const fn failing(failing_share: f64) -> Fault {
     Fault {
         failing_share,
@@ -53,6 +55,7 @@
     }
 }
 
+/// A fault by which a share of the answers takes `slow_factor` times as long.
 pub const fn slow(slow_share: f64, slow_factor: f64) -> Fault {
     Fault {
         slow_share,
@@ -61,36 +64,42 @@
     }
 }
 
-/// A route: requests a second, tier, whether its answers are streams, milliseconds, share that fails at any version.
+/// A route and its load.
 pub struct Route {
     pub name: &'static str,
-    pub per_s: f64,
+    /// Mean number of requests per second.
+    pub rate_per_s: f64,
     pub tier: u16,
+    /// Whether answers are streams of events, as those of an engine.
     pub is_stream: bool,
+    /// Share of the answers that fails at either version.
     pub failing_share: f64,
 }
 
-/// A service of the size of a pool of engines, or of a small application.
-pub struct Site {
+/// A service and its load: either a large pool of engines or a small application.
+pub struct Deployment {
+    /// Upstreams of each version.
     pub upstreams: usize,
+    /// Slots of each upstream.
     pub slots: u32,
-    /// Milliseconds of a plain call.
-    pub plain_ms: f64,
+    /// Mean duration of a call that is not a stream.
+    pub mean_call_ms: f64,
     pub routes: Vec<Route>,
 }
 
-pub fn engines() -> Site {
-    let route = |name, per_s, tier| Route {
+/// A pool of 90 engines with three streaming routes.
+pub fn engines() -> Deployment {
+    let route = |name, rate_per_s, tier| Route {
         name,
-        per_s,
+        rate_per_s,
         tier,
         is_stream: true,
         failing_share: 0.003,
     };
-    Site {
+    Deployment {
         upstreams: 90,
         slots: 5,
-        plain_ms: 15.0,
+        mean_call_ms: 15.0,
         routes: vec![
             route("quote", 164.0, 0),
             route("report", 196.0, 1),
@@ -99,59 +108,68 @@
     }
 }
 
-pub fn application() -> Site {
-    let route = |name, per_s, failing_share| Route {
+/// An application on three upstreams, of whose two routes `stock` fails often at either version.
+pub fn application() -> Deployment {
+    let route = |name, rate_per_s, failing_share| Route {
         name,
-        per_s,
+        rate_per_s,
         tier: 2,
         is_stream: false,
         failing_share,
     };
-    Site {
+    Deployment {
         upstreams: 3,
         slots: 6,
-        plain_ms: 15.0,
+        mean_call_ms: 15.0,
         routes: vec![route("lookup", 195.0, 0.004), route("stock", 45.0, 0.14)],
     }
 }
 
+/// A run that was granted and has not ended.
 #[derive(Clone, Copy)]
-pub struct Flying {
+pub struct InFlightRun {
     pub route: usize,
     pub upstream: usize,
+    /// Whether it runs on the new version.
     pub is_new: bool,
-    pub asked_at_s: f64,
+    pub requested_at_s: f64,
     pub started_at_s: f64,
     pub will_fail: bool,
-    pub is_bad: bool,
+    /// Whether the fault of the version makes it fail or slows it down.
+    pub is_affected: bool,
     pub events: u32,
 }
 
+/// Results of a simulated roll-out; times are in seconds after the order.
 #[derive(Debug, Default)]
 pub struct Outcome {
+    /// The owner's decision; absent while there is none.
     pub phase: Option<RolloutPhase>,
     pub decided_at_s: f64,
+    /// Requests between the order and its end.
     pub requests: u64,
-    /// Requests that reached the new version before the order's end.
+    /// Requests that were placed at the new version before the order's end.
     pub exposed: u64,
-    pub bad_answers: u64,
-    /// When the fiftieth bad answer came, and when the new version got its last request.
-    pub fiftieth_bad_at_s: Option<f64>,
+    /// Answers that failed or were slow because of the fault.
+    pub affected_answers: u64,
+    /// When the fiftieth affected answer ended; absent if there were fewer.
+    pub fiftieth_affected_at_s: Option<f64>,
+    /// When the new version got its last request.
     pub last_exposed_at_s: f64,
-    /// Runs at the old version when the order was completed.
-    pub cut: usize,
-    /// Requests placed at the old version after it was completed, or at the new one after it was rolled back.
+    /// Runs on the old version at the time of the decision.
+    pub old_runs_at_decision: usize,
+    /// Requests placed at the old version after the roll-out was completed, or at the new one after it was rolled back.
     pub misplaced: u64,
-    /// What the decision rests on.
+    /// The owner's explanation of its decision.
     pub reason: String,
-    /// The ends of all runs.
-    pub ends: Vec<RunSample>,
+    /// All runs that ended.
+    pub samples: Vec<RunSample>,
 }
 
-/// The end of a run, for other ways to judge a version.
+/// A run that ended, as input for other methods of analysis.
 #[derive(Clone, Copy, Debug)]
 pub struct RunSample {
-    /// Seconds after the order.
+    /// When the run ended, in seconds after the order.
     pub at_s: f64,
     pub route: usize,
     pub is_new: bool,
@@ -160,110 +178,127 @@
     pub events: u32,
 }
 
+/// A simulation of one roll-out.
 pub struct Player<'a> {
-    pub site: &'a Site,
+    pub deployment: &'a Deployment,
     pub fault: Fault,
     pub random: Random,
     pub dispatcher: Dispatcher,
-    pub flying: HashMap<RunId, Flying>,
-    pub ends: BinaryHeap<Reverse<(u64, RunId)>>,
+    pub in_flight: HashMap<RunId, InFlightRun>,
+    /// Scheduled ends of the runs in flight, in microseconds.
+    pub run_ends: BinaryHeap<Reverse<(u64, RunId)>>,
+    /// Number of runs at each upstream.
     pub running: Vec<usize>,
-    pub speeds: Vec<f64>,
+    /// Factor on the duration of streams at each upstream.
+    pub duration_factors: Vec<f64>,
     pub outcome: Outcome,
     pub next_run: RunId,
-    pub asked: HashMap<RunId, (usize, f64)>,
+    /// Requests without a slot: index of the route, and time of the request in seconds.
+    pub waiting: HashMap<RunId, (usize, f64)>,
 }
 
-/// The seeds to play: those named by hand, or the usual ones.
+/// Returns the seeds in `DRAGONFLYSTEP_SEEDS`, given as `FROM..TO`, or the usual ones if it is not set.
 pub fn seeds(usual: Range<u64>) -> Range<u64> {
     let Ok(text) = std::env::var("DRAGONFLYSTEP_SEEDS") else {
         return usual;
     };
-    let (from, to) = text.split_once("..").expect("seeds as FROM..TO");
-    from.parse().expect("a seed")..to.parse().expect("a seed")
+    let (from, to) = text
+        .split_once("..")
+        .expect("DRAGONFLYSTEP_SEEDS has the form FROM..TO");
+    from.parse().expect("FROM is a number")..to.parse().expect("TO is a number")
 }
 
+/// The virtual time that is `seconds` after zero.
 pub fn at(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-pub fn versions(site: &Site, with_new: bool) -> Vec<Upstream> {
+/// The registered upstreams: those of version `v1`, followed by as many of `v2` if `with_new` is set.
+pub fn upstream_entries(deployment: &Deployment, with_new: bool) -> Vec<Upstream> {
     let count = if with_new {
-        site.upstreams * 2
+        deployment.upstreams * 2
     } else {
-        site.upstreams
+        deployment.upstreams
     };
-    let one = |index: usize| {
-        let mut one = upstream(index, site.slots);
-        if index >= site.upstreams {
-            one.version = "v2".into();
+    let entry = |index: usize| {
+        let mut entry = upstream(index, deployment.slots);
+        if index >= deployment.upstreams {
+            entry.version = "v2".into();
         }
-        one
+        entry
     };
-    (0..count).map(one).collect()
+    (0..count).map(entry).collect()
 }
 
 impl<'a> Player<'a> {
-    pub fn new(site: &'a Site, fault: Fault, seed: u64) -> Self {
+    pub fn new(deployment: &'a Deployment, fault: Fault, seed: u64) -> Self {
         let mut random = Random::new(seed + 1);
-        let speeds = (0..site.upstreams * 2)
-            .map(|_| match (site.upstreams > 10, random.fraction() < 0.33) {
-                (true, true) => 3.0,
-                (true, false) => 0.68,
-                (false, _) => 1.0,
-            })
+        let duration_factors = (0..deployment.upstreams * 2)
+            .map(
+                |_| match (deployment.upstreams > 10, random.fraction() < 0.33) {
+                    (true, true) => 3.0,
+                    (true, false) => 0.68,
+                    (false, _) => 1.0,
+                },
+            )
             .collect();
-        let mut dispatcher = dispatcher(0, site.slots);
-        if !site.routes[0].is_stream {
-            let mut plain = catalogue(site.slots);
+        let mut dispatcher = dispatcher(0, deployment.slots);
+        if !deployment.routes[0].is_stream {
+            let mut plain = catalogue(deployment.slots);
             plain.services[0].engine = None;
             let changed = Event::CatalogueChanged(Arc::new(plain));
             dispatcher.reduce(Duration::ZERO, changed);
         }
         dispatcher.reduce(
             Duration::ZERO,
-            Event::UpstreamsChanged(versions(site, false)),
+            Event::UpstreamsChanged(upstream_entries(deployment, false)),
         );
         Self {
-            site,
+            deployment,
             fault,
             random,
             dispatcher,
-            flying: HashMap::new(),
-            ends: BinaryHeap::new(),
-            running: vec![0; site.upstreams * 2],
-            speeds,
+            in_flight: HashMap::new(),
+            run_ends: BinaryHeap::new(),
+            running: vec![0; deployment.upstreams * 2],
+            duration_factors,
             outcome: Outcome::default(),
             next_run: 0,
-            asked: HashMap::new(),
+            waiting: HashMap::new(),
         }
     }
 
+    /// The order to roll out version `v2`.
     pub fn order(&self) -> RolloutOrder {
         RolloutOrder {
             service: SERVICE.into(),
             to: "v2".into(),
             number: 7,
-            ends_at: at(ORDERED_AT_S + ORDER_LASTS_S),
+            ends_at: at(ORDERED_AT_S + ORDER_DURATION_S),
         }
     }
 
-    /// Plays the order, and a while beyond its end.
+    /// Simulates the roll-out until 4 s after the end of the order and returns the results.
     pub fn play(mut self) -> Outcome {
-        let rate: f64 = self.site.routes.iter().map(|route| route.per_s).sum();
-        let end_s = ORDERED_AT_S + ORDER_LASTS_S + 4.0;
+        let rate: f64 = self
+            .deployment
+            .routes
+            .iter()
+            .map(|route| route.rate_per_s)
+            .sum();
+        let end_s = ORDERED_AT_S + ORDER_DURATION_S + 4.0;
         let mut next_s = 0.0;
         let mut tick_s = 0.0;
         let mut is_ordered = false;
         while next_s < end_s {
             let end_next = self
-                .ends
+                .run_ends
                 .peek()
                 .map_or(f64::INFINITY, |Reverse((us, _))| *us as f64 / 1e6);
             let now = next_s.min(end_next).min(tick_s);
             if !is_ordered && now >= ORDERED_AT_S {
                 is_ordered = true;
-                let all = versions(self.site, true);
+                let all = upstream_entries(self.deployment, true);
                 self.reduce(now, Event::RolloutOrdered(self.order()));
                 self.reduce(now, Event::UpstreamsChanged(all));
             }
@@ -271,30 +306,38 @@
                 tick_s += 0.1;
                 self.reduce(now, Event::Ticked);
             } else if now == end_next {
-                let Some(Reverse((_, run))) = self.ends.pop() else {
+                let Some(Reverse((_, run))) = self.run_ends.pop() else {
                     break;
                 };
                 self.end(now, run);
             } else {
-                self.ask(now);
+                self.send_request(now);
                 next_s += self.random.gap_s(rate);
             }
         }
         self.outcome
     }
 
-    pub fn ask(&mut self, now: f64) {
-        let all: f64 = self.site.routes.iter().map(|route| route.per_s).sum();
-        let mut draw = self.random.fraction() * all;
+    /// Sends a request on a route drawn by the rates of the routes.
+    pub fn send_request(&mut self, now: f64) {
+        let total_per_s: f64 = self
+            .deployment
+            .routes
+            .iter()
+            .map(|route| route.rate_per_s)
+            .sum();
+        let mut draw = self.random.fraction() * total_per_s;
         let mut index = 0;
-        while draw > self.site.routes[index].per_s && index + 1 < self.site.routes.len() {
-            draw -= self.site.routes[index].per_s;
+        while draw > self.deployment.routes[index].rate_per_s
+            && index + 1 < self.deployment.routes.len()
+        {
+            draw -= self.deployment.routes[index].rate_per_s;
             index += 1;
         }
-        let route = &self.site.routes[index];
+        let route = &self.deployment.routes[index];
         self.next_run += 1;
         let run = self.next_run;
-        let ask = SlotRequest {
+        let request = SlotRequest {
             run,
             route: route.name.into(),
             longest_pause: route.is_stream.then_some(Duration::from_millis(250)),
@@ -309,15 +352,16 @@
             } else {
                 WorkSize::default()
             },
-            ..plain_ask(run, route.tier)
+            ..plain_request(run, route.tier)
         };
-        if (ORDERED_AT_S..ORDERED_AT_S + ORDER_LASTS_S).contains(&now) {
+        if (ORDERED_AT_S..ORDERED_AT_S + ORDER_DURATION_S).contains(&now) {
             self.outcome.requests += 1;
         }
-        self.asked.insert(run, (index, now));
-        self.reduce(now, Event::SlotRequested(ask));
+        self.waiting.insert(run, (index, now));
+        self.reduce(now, Event::SlotRequested(request));
     }
 
+    /// Passes an event to the owner, records its decision on the roll-out and starts the runs that it grants.
     pub fn reduce(&mut self, now: f64, event: Event) {
         let effects = self.dispatcher.reduce(at(now), event);
         for step in self.dispatcher.take_rollout_steps() {
@@ -325,26 +369,35 @@
                 self.outcome.reason = step.reason;
                 self.outcome.phase = Some(step.phase);
                 self.outcome.decided_at_s = now - ORDERED_AT_S;
-                let old = self.flying.values().filter(|run| !run.is_new);
-                self.outcome.cut = old.count();
+                let old = self.in_flight.values().filter(|run| !run.is_new);
+                self.outcome.old_runs_at_decision = old.count();
             }
         }
         for effect in effects {
             if let SlotDecision::Granted(grant) = effect.decision {
-                let index = grant.address.rsplit(':').next().expect("a port");
-                self.start(now, effect.run, index.parse().expect("a number"));
+                let index = grant
+                    .address
+                    .rsplit(':')
+                    .next()
+                    .expect("the address ends in a port");
+                self.start(
+                    now,
+                    effect.run,
+                    index.parse().expect("the port is a number"),
+                );
             }
         }
     }
 
+    /// Starts a run and schedules its end, with the effects of the fault and of the load at the upstream.
     pub fn start(&mut self, now: f64, run: RunId, upstream: usize) {
-        let (route, asked_at_s) = self.asked.remove(&run).expect("it was asked");
-        let is_new = upstream >= self.site.upstreams;
-        let spec = &self.site.routes[route];
+        let (route, requested_at_s) = self.waiting.remove(&run).expect("the run was requested");
+        let is_new = upstream >= self.deployment.upstreams;
+        let spec = &self.deployment.routes[route];
         let since_order = now - ORDERED_AT_S;
         if is_new {
             self.outcome.last_exposed_at_s = since_order;
-            if since_order < ORDER_LASTS_S {
+            if since_order < ORDER_DURATION_S {
                 self.outcome.exposed += 1;
             }
         }
@@ -355,76 +408,80 @@
         };
         self.outcome.misplaced += u64::from(is_misplaced);
         self.running[upstream] += 1;
-        let shows = is_new
+        let has_effect = is_new
             && since_order >= self.fault.from_s
-            && self.running[upstream] >= self.fault.above_runs
+            && self.running[upstream] >= self.fault.min_runs
             && self.fault.route.is_none_or(|route| route == spec.name);
-        let fails = shows && self.random.fraction() < self.fault.failing_share;
-        let is_slow = shows && self.random.fraction() < self.fault.slow_share;
-        let fails_anyway = self.random.fraction() < spec.failing_share;
+        let fails = has_effect && self.random.fraction() < self.fault.failing_share;
+        let is_slow = has_effect && self.random.fraction() < self.fault.slow_share;
+        let fails_at_any_version = self.random.fraction() < spec.failing_share;
         let events = if spec.is_stream {
             self.random.size(20.0, 1.0, 200.0).ceil() as u32
         } else {
             0
         };
-        let load = 1.0 + 0.08 * (self.running[upstream] - 1) as f64;
-        let usual_ms = if spec.is_stream {
-            (30.0 + 45.0 + 18.0 * f64::from(events)) * self.speeds[upstream]
+        let load_factor = 1.0 + 0.08 * (self.running[upstream] - 1) as f64;
+        let unloaded_ms = if spec.is_stream {
+            (30.0 + 45.0 + 18.0 * f64::from(events)) * self.duration_factors[upstream]
         } else {
-            self.random
-                .size(self.site.plain_ms, 0.5, self.site.plain_ms * (110.0 / 15.0))
+            self.random.size(
+                self.deployment.mean_call_ms,
+                0.5,
+                self.deployment.mean_call_ms * (110.0 / 15.0),
+            )
         };
-        let factor = if is_slow { self.fault.slow_factor } else { 1.0 };
-        let took_s = usual_ms * load * factor / 1e3;
-        self.flying.insert(
+        let fault_factor = if is_slow { self.fault.slow_factor } else { 1.0 };
+        let took_s = unloaded_ms * load_factor * fault_factor / 1e3;
+        self.in_flight.insert(
             run,
-            Flying {
+            InFlightRun {
                 route,
                 upstream,
                 is_new,
-                asked_at_s,
+                requested_at_s,
                 started_at_s: now,
-                will_fail: fails || fails_anyway,
-                is_bad: fails || is_slow,
+                will_fail: fails || fails_at_any_version,
+                is_affected: fails || is_slow,
                 events,
             },
         );
         let ends_us = ((now + took_s) * 1e6) as u64;
-        self.ends.push(Reverse((ends_us, run)));
+        self.run_ends.push(Reverse((ends_us, run)));
     }
 
+    /// Ends a run, records it, and reports it to the owner.
     pub fn end(&mut self, now: f64, run: RunId) {
-        let flying = self.flying.remove(&run).expect("it runs");
-        self.running[flying.upstream] -= 1;
-        if flying.is_bad {
-            self.outcome.bad_answers += 1;
-            if self.outcome.bad_answers == 50 {
-                self.outcome.fiftieth_bad_at_s = Some(now - ORDERED_AT_S);
+        let in_flight = self.in_flight.remove(&run).expect("the run is in flight");
+        self.running[in_flight.upstream] -= 1;
+        if in_flight.is_affected {
+            self.outcome.affected_answers += 1;
+            if self.outcome.affected_answers == 50 {
+                self.outcome.fiftieth_affected_at_s = Some(now - ORDERED_AT_S);
             }
         }
-        self.outcome.ends.push(RunSample {
+        self.outcome.samples.push(RunSample {
             at_s: now - ORDERED_AT_S,
-            route: flying.route,
-            is_new: flying.is_new,
-            has_failed: flying.will_fail,
-            took_s: now - flying.started_at_s,
-            events: flying.events,
+            route: in_flight.route,
+            is_new: in_flight.is_new,
+            has_failed: in_flight.will_fail,
+            took_s: now - in_flight.started_at_s,
+            events: in_flight.events,
         });
-        let is_stream = self.site.routes[flying.route].is_stream;
-        let to_end = at(now - flying.started_at_s);
-        let ended = RunReport {
+        let is_stream = self.deployment.routes[in_flight.route].is_stream;
+        let to_end = at(now - in_flight.started_at_s);
+        let report = RunReport {
             run,
             service: SERVICE.into(),
-            outcome: if flying.will_fail {
+            outcome: if in_flight.will_fail {
                 RunOutcome::Failed
             } else {
                 RunOutcome::Completed
             },
             to_first_event: is_stream.then(|| to_end / 5),
             to_end,
-            events: flying.events,
+            events: in_flight.events,
         };
-        assert!(flying.asked_at_s <= now);
-        self.reduce(now, Event::RunEnded(ended));
+        assert!(in_flight.requested_at_s <= now);
+        self.reduce(now, Event::RunEnded(report));
     }
 }
--- a/crates/dragonflystep_dispatch/tests/support/verdicts.rs
+++ b/crates/dragonflystep_dispatch/tests/support/verdicts.rs
@@ -1,4 +1,4 @@
-//! Asking an owner and looking at its verdict.
+//! Helpers that request slots from an owner and check its decisions.
 
 use {
     super::SERVICE,
@@ -8,30 +8,39 @@
     std::time::Duration,
 };
 
-pub const AT: Duration = Duration::from_secs(20);
+/// Virtual time at which the tests of single decisions begin.
+pub const START: Duration = Duration::from_secs(20);
 
-pub fn ask(dispatcher: &mut Dispatcher, at: Duration, ask: SlotRequest) -> Option<SlotDecision> {
-    let run = ask.run;
-    let effects = dispatcher.reduce(at, Event::SlotRequested(ask));
-    let own = effects.into_iter().find(|effect| effect.run == run);
-    own.map(|effect| effect.decision)
+/// Requests a slot and returns the decision for this request, or `None` while it waits.
+pub fn request_slot(
+    dispatcher: &mut Dispatcher,
+    at: Duration,
+    request: SlotRequest,
+) -> Option<SlotDecision> {
+    let run = request.run;
+    let effects = dispatcher.reduce(at, Event::SlotRequested(request));
+    let own_effect = effects.into_iter().find(|effect| effect.run == run);
+    own_effect.map(|effect| effect.decision)
 }
 
-pub fn granted_to(decision: Option<SlotDecision>) -> String {
+/// Returns the name of the granted upstream; panics if no slot was granted.
+pub fn granted_upstream(decision: Option<SlotDecision>) -> String {
     match decision {
         Some(SlotDecision::Granted(grant)) => grant.upstream.to_string(),
-        other => panic!("no place: {other:?}"),
+        other => panic!("no slot was granted: {other:?}"),
     }
 }
 
+/// Returns the refusal; panics if the request was not refused.
 pub fn refusal(decision: Option<SlotDecision>) -> Refusal {
     match decision {
         Some(SlotDecision::Refused(refusal)) => refusal,
-        other => panic!("not refused: {other:?}"),
+        other => panic!("the request was not refused: {other:?}"),
     }
 }
 
-pub fn ended(run: RunId, outcome: RunOutcome) -> Event {
+/// The end of a streamed run of 30 events after 500 ms.
+pub fn run_ended(run: RunId, outcome: RunOutcome) -> Event {
     Event::RunEnded(RunReport {
         run,
         service: SERVICE.into(),
