--- a/crates/dragonflystep_dispatch/tests/leaving_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/leaving_upstreams.rs
@@ -10,8 +10,9 @@
     },
     std::time::Duration,
     support::{
-        SERVICE, dispatcher, plain_request, upstream,
-        verdicts::{START, granted_upstream, request_slot, run_ended},
+        SERVICE, dispatcher, plain_request,
+        slot_requests::{START, granted_upstream, request_slot, run_ended},
+        upstream,
     },
 };
 
--- a/crates/dragonflystep_dispatch/tests/quota_owners.rs
+++ b/crates/dragonflystep_dispatch/tests/quota_owners.rs
@@ -17,7 +17,7 @@
         Random,
         accounts::catalogue_with_quota,
         dispatcher, limits, plain_request,
-        verdicts::{request_slot, run_ended},
+        slot_requests::{request_slot, run_ended},
     },
 };
 
--- a/crates/dragonflystep_dispatch/tests/quotas.rs
+++ b/crates/dragonflystep_dispatch/tests/quotas.rs
@@ -13,7 +13,7 @@
     support::{
         accounts::catalogue_with_quota,
         dispatcher, plain_request,
-        verdicts::{START, request_slot, run_ended},
+        slot_requests::{START, request_slot, run_ended},
     },
 };
 
--- a/crates/dragonflystep_dispatch/tests/rate_limits.rs
+++ b/crates/dragonflystep_dispatch/tests/rate_limits.rs
@@ -13,8 +13,9 @@
     proptest::prelude::{ProptestConfig, Strategy, prop, prop_assert, proptest},
     std::time::Duration,
     support::{
-        SERVICE, dispatcher, plain_request, upstream,
-        verdicts::{START, granted_upstream, request_slot, run_ended},
+        SERVICE, dispatcher, plain_request,
+        slot_requests::{START, granted_upstream, request_slot, run_ended},
+        upstream,
     },
 };
 
--- a/crates/dragonflystep_dispatch/tests/rest_replay.rs
+++ b/crates/dragonflystep_dispatch/tests/rest_replay.rs
@@ -12,7 +12,7 @@
         UpstreamId, UpstreamNotice, run_id,
     },
     std::{collections::HashMap, time::Duration},
-    support::{Random, SERVICE, dispatcher, plain_request, verdicts::run_ended},
+    support::{Random, SERVICE, dispatcher, plain_request, slot_requests::run_ended},
 };
 
 const UPSTREAMS: usize = 18;
--- a/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
@@ -12,7 +12,7 @@
     std::time::Duration,
     support::{
         SERVICE, dispatcher, plain_request,
-        verdicts::{START, granted_upstream, refusal, request_slot, run_ended},
+        slot_requests::{START, granted_upstream, refusal, request_slot, run_ended},
     },
 };
 
--- a/crates/dragonflystep_dispatch/tests/rollout_windows.rs
+++ b/crates/dragonflystep_dispatch/tests/rollout_windows.rs
@@ -8,9 +8,9 @@
 use {
     dragonflystep_dispatch::RolloutPhase,
     std::ops::Range,
-    support::rollout_player::{
-        Deployment, Fault, GOOD, Outcome, Player, RunSample, application, engines, failing, seeds,
-        slow,
+    support::rollout_simulation::{
+        Deployment, Fault, GOOD, Outcome, RolloutSimulation, RunSample, application, engines,
+        failing, seeds, slow,
     },
 };
 
@@ -72,7 +72,7 @@
     let seeds = seeds(usual);
     let count = seeds.end - seeds.start;
     for seed in seeds {
-        let outcome = Player::new(deployment, fault, seed).play();
+        let outcome = RolloutSimulation::new(deployment, fault, seed).run();
         let is_rolled_back = outcome.phase == Some(RolloutPhase::RolledBack);
         sequential += u32::from(is_rolled_back != is_bad);
         decided_s += outcome.decided_at_s;
--- a/crates/dragonflystep_dispatch/tests/rollouts.rs
+++ b/crates/dragonflystep_dispatch/tests/rollouts.rs
@@ -11,9 +11,9 @@
     std::{ops::Range, time::Duration},
     support::{
         SERVICE, limits,
-        rollout_player::{
-            Deployment, Fault, GOOD, ORDER_DURATION_S, Outcome, Player, application, at, engines,
-            failing, seeds, slow, upstream_entries,
+        rollout_simulation::{
+            Deployment, Fault, GOOD, ORDER_DURATION_S, Outcome, RolloutSimulation, application, at,
+            engines, failing, seeds, slow, upstream_entries,
         },
     },
 };
@@ -35,7 +35,7 @@
     let mut missed = Vec::new();
     let seeds = seeds(usual);
     for seed in seeds.clone() {
-        let outcome = Player::new(deployment, fault, seed).play();
+        let outcome = RolloutSimulation::new(deployment, fault, seed).run();
         let exposed = outcome.exposed as f64 / permitted(&outcome);
         max_exposure = max_exposure.max(exposed);
         max_decision_s = max_decision_s.max(outcome.decided_at_s);
@@ -81,7 +81,7 @@
         RolloutPhase::Completed,
         usual,
     );
-    let outcome = Player::new(&engines(), GOOD, 3).play();
+    let outcome = RolloutSimulation::new(&engines(), GOOD, 3).run();
     assert!(outcome.decided_at_s < ORDER_DURATION_S, "{outcome:?}");
 }
 
@@ -223,15 +223,15 @@
 #[test]
 fn an_owner_without_a_majority_makes_no_decision_and_sends_no_canaries() {
     let deployment = engines();
-    let mut player = Player::new(&deployment, GOOD, 1);
+    let mut simulation = RolloutSimulation::new(&deployment, GOOD, 1);
     let visibility = Visibility {
         visible: 3,
         known: 10,
     };
-    player
+    simulation
         .dispatcher
         .reduce(Duration::ZERO, Event::VisibilityChanged(visibility));
-    let outcome = player.play();
+    let outcome = simulation.run();
     assert_eq!(outcome.phase, None);
     assert_eq!(outcome.exposed, 0);
 }
@@ -242,18 +242,18 @@
         upstreams: 8,
         ..application()
     };
-    let mut player = Player::new(&deployment, GOOD, 1);
-    player.reduce(
+    let mut simulation = RolloutSimulation::new(&deployment, GOOD, 1);
+    simulation.reduce(
         0.0,
         Event::RolloutOrdered(RolloutOrder {
             ends_at: at(4.0),
-            ..player.order()
+            ..simulation.order()
         }),
     );
     for index in 0..500 {
-        player.send_request(f64::from(index) * 0.01);
+        simulation.send_request(f64::from(index) * 0.01);
     }
-    assert_eq!(player.outcome.phase, Some(RolloutPhase::RolledBack));
+    assert_eq!(simulation.outcome.phase, Some(RolloutPhase::RolledBack));
 }
 
 #[test]
@@ -263,17 +263,20 @@
         (RolloutPhase::Completed, true),
         (RolloutPhase::RolledBack, false),
     ] {
-        let mut player = Player::new(&deployment, GOOD, 1);
+        let mut simulation = RolloutSimulation::new(&deployment, GOOD, 1);
         let all = upstream_entries(&deployment, true);
-        player.reduce(0.0, Event::RolloutOrdered(player.order()));
-        player.reduce(0.0, Event::UpstreamsChanged(all));
-        player.reduce(0.0, Event::RolloutSettled(SERVICE.into(), 7, phase));
+        simulation.reduce(0.0, Event::RolloutOrdered(simulation.order()));
+        simulation.reduce(0.0, Event::UpstreamsChanged(all));
+        simulation.reduce(0.0, Event::RolloutSettled(SERVICE.into(), 7, phase));
         for index in 0..30 {
-            player.send_request(f64::from(index) * 0.001);
+            simulation.send_request(f64::from(index) * 0.001);
         }
-        assert!(!player.in_flight.is_empty());
+        assert!(!simulation.in_flight.is_empty());
         assert!(
-            player.in_flight.values().all(|run| run.is_new == new_only),
+            simulation
+                .in_flight
+                .values()
+                .all(|run| run.is_new == new_only),
             "{phase:?}"
         );
     }
@@ -282,34 +285,34 @@
 #[test]
 fn upstreams_of_a_version_without_an_order_get_no_requests_at_first() {
     let deployment = application();
-    let mut player = Player::new(&deployment, GOOD, 1);
+    let mut simulation = RolloutSimulation::new(&deployment, GOOD, 1);
     let mut all = upstream_entries(&deployment, true);
     all[4].phase = UpstreamPhase::Draining;
-    player.reduce(1.0, Event::UpstreamsChanged(all));
+    simulation.reduce(1.0, Event::UpstreamsChanged(all));
     for index in 0..30 {
-        player.send_request(1.0 + f64::from(index) * 0.001);
+        simulation.send_request(1.0 + f64::from(index) * 0.001);
     }
-    assert!(player.in_flight.values().all(|run| !run.is_new));
+    assert!(simulation.in_flight.values().all(|run| !run.is_new));
 }
 
 #[test]
 fn a_version_without_an_order_that_replaces_a_completed_one_is_used() {
     let deployment = application();
-    let mut player = Player::new(&deployment, GOOD, 1);
-    player.reduce(0.0, Event::RolloutOrdered(player.order()));
-    player.reduce(
+    let mut simulation = RolloutSimulation::new(&deployment, GOOD, 1);
+    simulation.reduce(0.0, Event::RolloutOrdered(simulation.order()));
+    simulation.reduce(
         0.0,
         Event::UpstreamsChanged(upstream_entries(&deployment, true)),
     );
     let completed = Event::RolloutSettled(SERVICE.into(), 7, RolloutPhase::Completed);
-    player.reduce(0.0, completed);
+    simulation.reduce(0.0, completed);
     let mut released = upstream_entries(&deployment, false);
     for upstream in &mut released {
         upstream.version = "v3".into();
     }
-    player.reduce(1.0, Event::UpstreamsChanged(released));
+    simulation.reduce(1.0, Event::UpstreamsChanged(released));
     for index in 0..10 {
-        player.send_request(4.0 + f64::from(index) * 0.001);
+        simulation.send_request(4.0 + f64::from(index) * 0.001);
     }
-    assert!(!player.in_flight.is_empty());
+    assert!(!simulation.in_flight.is_empty());
 }
--- a/crates/dragonflystep_dispatch/tests/support/mod.rs
+++ b/crates/dragonflystep_dispatch/tests/support/mod.rs
@@ -7,8 +7,8 @@
 pub mod accounts;
 pub mod engine;
 pub mod kinds;
-pub mod rollout_player;
-pub mod verdicts;
+pub mod rollout_simulation;
+pub mod slot_requests;
 
 use {
     self::{
@@ -216,11 +216,11 @@
 
 /// Replays a load until 15 s after its last arrivals and returns the results.
 pub fn replay(load: &Load) -> Replay {
-    Player::new(load).play()
+    Replayer::new(load).run()
 }
 
 /// State of a replay.
-struct Player<'a> {
+struct Replayer<'a> {
     load: &'a Load,
     dispatcher: Dispatcher,
     engines: Vec<EngineModel>,
@@ -235,7 +235,7 @@
     shed: Vec<(f64, u16)>,
 }
 
-impl<'a> Player<'a> {
+impl<'a> Replayer<'a> {
     fn new(load: &'a Load) -> Self {
         let engines = load.slowness.iter().map(|slowness| EngineModel {
             speed: load.engine,
@@ -256,7 +256,7 @@
         }
     }
 
-    fn play(mut self) -> Replay {
+    fn run(mut self) -> Replay {
         let arrivals = self.arrivals();
         let mut arrivals = arrivals.into_iter().peekable();
         let mut next_tick_ms = TICK_MS;
@@ -465,11 +465,11 @@
                 .any(|(other, lower)| lower > tier && (at - other).abs() <= 100.0);
             self.result.priority_inversions += u32::from(is_inversion);
         }
-        let played_ms = end_ms.min(self.load.duration_s * 1e3);
+        let replayed_ms = end_ms.min(self.load.duration_s * 1e3);
         self.result.busy = self
             .engines
             .iter()
-            .map(|engine| engine.busy_ms / played_ms)
+            .map(|engine| engine.busy_ms / replayed_ms)
             .collect();
         self.result
     }
--- a/crates/dragonflystep_dispatch/tests/support/rollout_player.rs
+++ b/crates/dragonflystep_dispatch/tests/support/rollout_simulation.rs
@@ -179,7 +179,7 @@
 }
 
 /// A simulation of one roll-out.
-pub struct Player<'a> {
+pub struct RolloutSimulation<'a> {
     pub deployment: &'a Deployment,
     pub fault: Fault,
     pub random: Random,
@@ -230,7 +230,7 @@
     (0..count).map(entry).collect()
 }
 
-impl<'a> Player<'a> {
+impl<'a> RolloutSimulation<'a> {
     pub fn new(deployment: &'a Deployment, fault: Fault, seed: u64) -> Self {
         let mut random = Random::new(seed + 1);
         let duration_factors = (0..deployment.upstreams * 2)
@@ -279,7 +279,7 @@
     }
 
     /// Simulates the roll-out until 4 s after the end of the order and returns the results.
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         let rate: f64 = self
             .deployment
             .routes
