--- a/crates/dragonflystep_edge/src/answer.rs
+++ b/crates/dragonflystep_edge/src/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers, and headers that concern only one connection.
+//! Bodies of answers to callers, and the removal of hop-by-hop headers.
 
 use {
     bytes::Bytes,
@@ -11,24 +11,25 @@
     tokio::sync::mpsc,
 };
 
-/// A stream to a caller can't be completed; its connection ends without the body's end.
+/// A stream to a caller can't be completed. The connection is closed without the end of the body, so that the caller
+/// can tell that the answer is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer can't be completed")]
 pub struct AnswerCut;
 
-/// Body of an answer.
+/// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it is there.
-    Whole(Bytes),
-    /// It arrives in pieces.
-    Pieces(mpsc::Receiver<Result<Bytes, AnswerCut>>),
+    /// The whole body.
+    Buffered(Bytes),
+    /// The body arrives in chunks while it is sent.
+    Streamed(mpsc::Receiver<Result<Bytes, AnswerCut>>),
 }
 
 impl AnswerBody {
     /// A body without content.
     pub fn empty() -> Self {
-        Self::Whole(Bytes::new())
+        Self::Buffered(Bytes::new())
     }
 }
 
@@ -41,27 +42,28 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Self::Pieces(pieces) => pieces
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Streamed(chunks) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(bytes) if bytes.is_empty())
+        matches!(self, Self::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
-const CONNECTION_HEADERS: [HeaderName; 6] = [
+/// Headers that concern only one connection, beside those that [`end_to_end_headers`] checks itself.
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -70,7 +72,8 @@
     header::UPGRADE,
 ];
 
-/// A copy of `headers` without those that concern only one connection.
+/// A copy of `headers` without hop-by-hop headers, which concern only one connection, and without the length of the
+/// body.
 ///
 /// # Examples
 /// ```
@@ -85,7 +88,7 @@
 /// assert_eq!(kept.keys().map(|name| name.as_str()).collect::<Vec<_>>(), ["x-end"]);
 /// ```
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let named_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -94,13 +97,13 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_of_connection = CONNECTION_HEADERS.contains(name)
-            || named.contains(name)
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name)
+            || named_by_connection.contains(name)
             || name == header::TRANSFER_ENCODING
             || name == header::CONTENT_LENGTH
             || name.as_str() == "keep-alive"
             || name.as_str() == "proxy-connection";
-        if !is_of_connection {
+        if !is_hop_by_hop {
             kept.append(name.clone(), value.clone());
         }
     }
--- a/crates/dragonflystep_edge/src/answers_of_own.rs
+++ b/crates/dragonflystep_edge/src/answers_of_own.rs
@@ -1,4 +1,4 @@
-//! Answers that a node gives itself.
+//! Replies that a node generates itself instead of passing on an upstream's answer.
 
 use {
     crate::{answer::AnswerBody, node::Node},
@@ -7,16 +7,18 @@
     std::time::Duration,
 };
 
-/// An answer of the node's own.
+/// A reply of the node itself; its body is the reason in one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OwnAnswer {
+pub(crate) struct LocalReply {
     pub(crate) status: StatusCode,
-    /// Word for logs and metrics.
+    /// The reason in one word, for the body, logs and metrics.
     pub(crate) reason: &'static str,
+    /// When the caller may retry; none if the reply invites no retry.
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl OwnAnswer {
+impl LocalReply {
+    /// A reply that states no time after which to retry.
     pub(crate) const fn new(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -25,7 +27,7 @@
         }
     }
 
-    /// The request did not run and will not; it may come again after a while.
+    /// The request did not run and will not; the caller may retry it after `retry_after`.
     pub(crate) const fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -34,8 +36,8 @@
         }
     }
 
-    /// A refusal by the owner of the service.
-    pub(crate) fn refused(refusal: Refusal) -> Self {
+    /// The reply to a request that the owner of the service refused.
+    pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         let (status, reason) = match refusal.reason {
             RefusalReason::Overloaded => (StatusCode::SERVICE_UNAVAILABLE, "overloaded"),
             RefusalReason::NoUpstream => (StatusCode::SERVICE_UNAVAILABLE, "no_upstream"),
@@ -43,7 +45,7 @@
                 (StatusCode::SERVICE_UNAVAILABLE, "retry_budget_spent")
             }
             RefusalReason::QuotaExceeded => (StatusCode::TOO_MANY_REQUESTS, "quota_exceeded"),
-            // A time to come back would invite the request to break the next upstream.
+            // A retry might crash the next upstream, so the reply states no time for one.
             RefusalReason::CrashSuspect => {
                 return Self::new(StatusCode::BAD_GATEWAY, "breaks_upstreams");
             }
@@ -55,11 +57,11 @@
         }
     }
 
-    /// The answer for the caller of `request_id`.
+    /// The response for the caller of `request_id`.
     pub(crate) fn response(self, node: &Node, request_id: &str) -> Response<AnswerBody> {
         node.metrics.count("own_answers_total", self.reason);
         let body = format!("{}\n", self.reason);
-        let mut response = Response::new(AnswerBody::Whole(body.into()));
+        let mut response = Response::new(AnswerBody::Buffered(body.into()));
         *response.status_mut() = self.status;
         node.dialect
             .own_answer(response.headers_mut(), request_id, self.retry_after);
--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -1,4 +1,4 @@
-//! What was tried for a request so far.
+//! Counts what was already tried for a request.
 
 use {
     crate::{
@@ -9,56 +9,56 @@
     std::time::{Duration, Instant},
 };
 
-/// Upstreams that got a request so far.
+/// The dispatches and slot requests of one request so far.
 #[derive(Default)]
 pub(crate) struct Attempts {
-    /// Times that it was sent.
+    /// Attempts so far; a dispatch that sent nothing does not count.
     pub(crate) sent: u32,
-    /// Places that were asked for.
-    pub(crate) places: u32,
-    /// Whether it may have run.
+    /// Slots requested so far, whether or not they were granted.
+    pub(crate) slot_requests: u32,
+    /// Whether the request may have run already.
     pub(crate) has_run: bool,
-    /// Time spent waiting for places.
+    /// Total time spent waiting for slots.
     pub(crate) queued: Duration,
-    /// Upstreams that got it or could not be reached, in order.
-    avoid: Vec<UpstreamId>,
+    /// The upstreams of all granted slots in order, also where nothing could be sent.
+    tried: Vec<UpstreamId>,
 }
 
 impl Attempts {
-    /// Gets a place for the next attempt.
-    pub(crate) async fn place(&mut self, job: &Job) -> Result<Place, Refusal> {
-        self.places += 1;
-        let request = job.ask(self);
-        let asked_at = Instant::now();
-        let place = obtain(&job.node, request).await;
-        self.queued += asked_at.elapsed();
-        place
+    /// Requests a slot for the next attempt.
+    pub(crate) async fn request_slot(&mut self, job: &Job) -> Result<Place, Refusal> {
+        self.slot_requests += 1;
+        let request = job.slot_request(self);
+        let requested_at = Instant::now();
+        let slot = obtain(&job.node, request).await;
+        self.queued += requested_at.elapsed();
+        slot
     }
 
-    /// The upstream that got the request last; empty when there is none.
+    /// The upstream of the latest slot, even if nothing could be sent to it; empty when there is none.
     pub(crate) fn last_upstream(&self) -> &str {
-        self.avoid.last().map_or("", |upstream| &**upstream)
+        self.tried.last().map_or("", |upstream| &**upstream)
     }
 
-    /// Notes the time spent waiting for places.
-    pub(crate) fn observe_queued(&self, job: &Job) {
+    /// Records the time spent waiting for slots so far as a metric.
+    pub(crate) fn observe_queue_time(&self, job: &Job) {
         let metrics = &job.node.metrics;
         metrics.observe("queued_ms", &job.route.name, self.queued);
     }
 
-    /// Upstreams that got the request, in order.
+    /// The upstreams of all granted slots in order, which the next slot request avoids.
     pub(crate) fn upstreams(&self) -> &[UpstreamId] {
-        &self.avoid
+        &self.tried
     }
 
-    /// Takes the last attempt back, of which nothing was sent; its upstream is still avoided.
-    pub(crate) fn take_back(&mut self) {
+    /// Uncounts the last attempt because nothing was sent; its upstream is still avoided.
+    pub(crate) fn uncount_sent(&mut self) {
         self.sent -= 1;
     }
 
-    /// Notes that the request goes to an upstream.
+    /// Counts an attempt at an upstream.
     pub(crate) fn count_sent(&mut self, upstream: &UpstreamId) {
         self.sent += 1;
-        self.avoid.push(upstream.clone());
+        self.tried.push(upstream.clone());
     }
 }
--- a/crates/dragonflystep_edge/src/burn.rs
+++ b/crates/dragonflystep_edge/src/burn.rs
@@ -1,4 +1,4 @@
-//! The service-level burn report: how fast each route spends its error budget, from the metrics pages of all nodes.
+//! The burn report: how fast each route spends its error budget, computed from the metrics pages of all nodes.
 
 use {
     serde::Serialize,
@@ -11,12 +11,12 @@
 pub(crate) const LATE: &str = "late_total";
 /// Counter of requests that were refused and did not run.
 pub(crate) const REFUSED: &str = "refused_total";
-/// Counter of requests that failed, were cut, or of which nobody knows whether they ran.
+/// Counter of requests that failed, whose stream was truncated, or that may have run without an answer.
 pub(crate) const FAILED: &str = "failed_total";
-/// Counter of requests whose callers left; they count neither way.
+/// Counter of requests whose callers disconnected during a stream; they count neither for nor against the objective.
 pub(crate) const CALLER_LEFT: &str = "caller_left_total";
 
-/// Requests of a route by how they ended, counted from each try.
+/// Numbers of requests of a route by how they ended. A request that a caller repeats is counted each time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RouteBurn {
     /// Answered whole and in time.
@@ -25,29 +25,30 @@
     pub late: u64,
     /// Refused; they did not run.
     pub refused: u64,
-    /// Failed or cut.
+    /// Failed, truncated, or ended without an answer though they may have run.
     pub failed: u64,
-    /// Callers that left.
+    /// Callers that disconnected during a stream; not part of `share_in_time`.
     pub caller_left: u64,
-    /// Share of those that were owed an answer which got it in time; 1 when none was.
+    /// Share of requests in time among those in time, late, refused and failed; 1 without any.
     pub share_in_time: f64,
-    /// Error budget spent, in budgets: 1 spends just what the objective permits.
+    /// Burn rate: the share that missed the objective, divided by the share that may miss it. 1 spends exactly the
+    /// error budget.
     pub burn: f64,
 }
 
-/// The report over the pages of several nodes.
+/// The burn report over the metrics pages of several nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EdgeBurnReport {
-    /// Share that is to be in time.
+    /// Share of requests that has to be in time.
     pub objective_share: f64,
-    /// By route.
+    /// The figures of each route, by its name.
     pub routes: BTreeMap<String, RouteBurn>,
-    /// Nodes whose page could not be had; their requests are missing.
+    /// Nodes whose metrics page could not be read; their requests are not counted.
     pub missing_nodes: Vec<String>,
 }
 
 impl EdgeBurnReport {
-    /// A report over metrics pages, for the objective that `objective_share` of the requests is in time.
+    /// Computes the report from metrics pages, for the objective that `objective_share` of the requests are in time.
     ///
     /// # Examples
     /// ```
@@ -62,7 +63,7 @@
         let mut routes: BTreeMap<String, RouteBurn> = BTreeMap::new();
         for (name, route, value) in pages
             .iter()
-            .flat_map(|page| page.lines().filter_map(counter))
+            .flat_map(|page| page.lines().filter_map(parse_counter))
         {
             let burn = routes.entry(route.to_owned()).or_default();
             let count = match name {
@@ -75,12 +76,12 @@
             *count += value;
         }
         for burn in routes.values_mut() {
-            let owed = burn.in_time + burn.late + burn.refused + burn.failed;
-            if owed == 0 {
+            let counted = burn.in_time + burn.late + burn.refused + burn.failed;
+            if counted == 0 {
                 burn.share_in_time = 1.0;
                 continue;
             }
-            burn.share_in_time = burn.in_time as f64 / owed as f64;
+            burn.share_in_time = burn.in_time as f64 / counted as f64;
             burn.burn = (1.0 - burn.share_in_time) / (1.0 - objective_share);
         }
         Self {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The report as a table.
+    /// Formats the report as a table.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "objective: {:.4} in time\n{:<24} {:>9} {:>8} {:>8} {:>8} {:>8} {:>9} {:>8}\n",
@@ -124,10 +125,11 @@
     }
 }
 
-/// A counter of this report: name, route and value; none for every other line.
-fn counter(line: &str) -> Option<(&str, &str, u64)> {
+/// Parses a line of a metrics page that holds a counter of this report into name, route and value; none for other
+/// lines.
+fn parse_counter(line: &str) -> Option<(&str, &str, u64)> {
     let (name, rest) = line.split_once("{kind=\"")?;
     let (route, value) = rest.split_once("\"} ")?;
-    let is_ours = [IN_TIME, LATE, REFUSED, FAILED, CALLER_LEFT].contains(&name);
-    is_ours.then_some((name, route, value.parse().ok()?))
+    let is_of_report = [IN_TIME, LATE, REFUSED, FAILED, CALLER_LEFT].contains(&name);
+    is_of_report.then_some((name, route, value.parse().ok()?))
 }
--- a/crates/dragonflystep_edge/src/connection_io.rs
+++ b/crates/dragonflystep_edge/src/connection_io.rs
@@ -1,7 +1,8 @@
-//! A caller's connection below the HTTP library: framing is checked, and times are taken.
+//! A caller's connection as the HTTP library reads and writes it. It checks the framing of what it receives and records
+//! the times that timeouts depend on.
 
 use {
-    crate::head_check::HeadCheck,
+    crate::head_check::FramingCheck,
     hyper::rt::{Read, ReadBufCursor, Write},
     hyper_util::rt::TokioIo,
     std::{
@@ -15,18 +16,19 @@
     tokio::net::TcpStream,
 };
 
-/// Bytes that no request head may contain; the HTTP library answers them with a refusal and closes.
-const REFUSED_HEAD: &[u8] = b"\0\r\n\r\n";
+/// An invalid request head, passed to the HTTP library in place of rejected bytes: the library replies with an error
+/// and closes the connection.
+const INVALID_HEAD: &[u8] = b"\0\r\n\r\n";
 
-/// Bytes read at once.
-const READ_BYTES: usize = 8 << 10;
+/// Most bytes that one read returns.
+const MAX_READ_BYTES: usize = 8 << 10;
 
-/// When a connection was last of use.
+/// The activity of a connection, from which its timeouts follow.
 pub(crate) struct ConnectionTimes {
-    /// When the last bytes came, or the last answer ended.
+    /// When bytes were last received or written, or the last answer ended.
     pub(crate) active_at: Cell<Instant>,
-    /// When a head began that is not complete.
-    pub(crate) head_began_at: Cell<Option<Instant>>,
+    /// When the first bytes of a still incomplete head arrived; none otherwise.
+    pub(crate) head_started_at: Cell<Option<Instant>>,
     /// Whether a request is being served.
     pub(crate) is_serving: Cell<bool>,
 }
@@ -35,17 +37,18 @@
     pub(crate) fn new() -> Rc<Self> {
         Rc::new(Self {
             active_at: Cell::new(Instant::now()),
-            head_began_at: Cell::new(None),
+            head_started_at: Cell::new(None),
             is_serving: Cell::new(false),
         })
     }
 }
 
-/// The checked connection.
+/// A TCP connection whose received bytes pass a [`FramingCheck`] before the HTTP library reads them.
 pub(crate) struct CheckedConnection {
     inner: TokioIo<TcpStream>,
-    check: HeadCheck,
-    has_failed: bool,
+    check: FramingCheck,
+    /// Whether the framing was rejected; all further reads report the end of the connection.
+    is_rejected: bool,
     times: Rc<ConnectionTimes>,
 }
 
@@ -53,26 +56,27 @@
     pub(crate) fn new(stream: TcpStream, times: Rc<ConnectionTimes>) -> Self {
         Self {
             inner: TokioIo::new(stream),
-            check: HeadCheck::default(),
-            has_failed: false,
+            check: FramingCheck::default(),
+            is_rejected: false,
             times,
         }
     }
 
-    fn note(&mut self, bytes: &[u8]) -> bool {
+    /// Records that bytes were received and checks their framing; returns whether the connection may go on.
+    fn check_received(&mut self, bytes: &[u8]) -> bool {
         let now = Instant::now();
         self.times.active_at.set(now);
         let result = self.check.feed(bytes);
-        let began = self.check.is_in_head().then(|| {
-            let before = self.times.head_began_at.get();
+        let started_at = self.check.is_in_head().then(|| {
+            let before = self.times.head_started_at.get();
             before.unwrap_or(now)
         });
-        self.times.head_began_at.set(began);
+        self.times.head_started_at.set(started_at);
         if let Err(fault) = result {
-            log::info!(fault:? = fault; "a connection's framing is refused");
-            self.has_failed = true;
+            log::info!(fault:? = fault; "rejected the framing of a connection");
+            self.is_rejected = true;
         }
-        !self.has_failed
+        !self.is_rejected
     }
 }
 
@@ -83,20 +87,20 @@
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        if this.has_failed {
+        if this.is_rejected {
             return Poll::Ready(Ok(()));
         }
-        let mut storage = [0_u8; READ_BYTES];
-        let room = buffer.remaining().min(READ_BYTES);
-        let mut read = tokio::io::ReadBuf::new(&mut storage[..room]);
+        let mut storage = [0_u8; MAX_READ_BYTES];
+        let max_bytes = buffer.remaining().min(MAX_READ_BYTES);
+        let mut read = tokio::io::ReadBuf::new(&mut storage[..max_bytes]);
         let stream = Pin::new(this.inner.inner_mut());
         ready!(tokio::io::AsyncRead::poll_read(stream, context, &mut read))?;
         let bytes = read.filled();
-        if bytes.is_empty() || this.note(bytes) {
+        if bytes.is_empty() || this.check_received(bytes) {
             buffer.put_slice(bytes);
         } else {
-            let refused = &REFUSED_HEAD[..REFUSED_HEAD.len().min(buffer.remaining())];
-            buffer.put_slice(refused);
+            let invalid_head = &INVALID_HEAD[..INVALID_HEAD.len().min(buffer.remaining())];
+            buffer.put_slice(invalid_head);
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/dragonflystep_edge/src/dialect.rs
+++ b/crates/dragonflystep_edge/src/dialect.rs
@@ -1,6 +1,7 @@
-//! What an adapter translates for a node: heads of requests and answers, documents and addresses.
+//! The interface of the adapter that translates a platform's wire format for a node: heads of requests and answers, the
+//! catalogue document and lists of node addresses.
 //!
-//! A node never reads a header by its name or a document by its fields; it asks its [`Dialect`].
+//! A node never reads a header by its name or a document by its fields itself; its [`Dialect`] does that.
 
 use {
     bytes::Bytes,
@@ -9,105 +10,108 @@
     std::time::Duration,
 };
 
-/// What a request's head says.
+/// What the head of a caller's request states.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFacts {
     /// Identifies the request; empty when the caller gave none.
     pub request_id: String,
-    /// The host that is named.
+    /// The host that the request is addressed to, by which its route is found.
     pub host: String,
-    /// How long the caller will wait.
+    /// How long the caller waits for an answer; none if the request does not say.
     pub time_left: Option<Duration>,
-    /// The key of the account.
+    /// The API key, which identifies the account; none without a key.
     pub key: Option<String>,
-    /// Prompt and expected output.
+    /// Size of the prompt and of the expected output.
     pub size: WorkSize,
-    /// Most output tokens, if the request names them.
+    /// Most output tokens that the request permits; none if it does not say.
     pub max_output_tokens: Option<u32>,
-    /// The last event that the caller has of an earlier answer.
+    /// The id of the last event that the caller received of an interrupted stream, which this request is to continue.
     pub last_event_id: Option<String>,
 }
 
-/// What the system tells an upstream about a request.
+/// What a node tells an upstream about a request, beside the caller's own headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamFacts<'a> {
-    /// How long the upstream may take.
+    /// Time until the deadline of the request.
     pub time_left: Duration,
     /// The upstream that the request is meant for.
     pub upstream: &'a UpstreamId,
-    /// The account.
+    /// The account that the request belongs to; none when the route needs no key.
     pub account: Option<&'a AccountName>,
-    /// The event after which a stream goes on, if the system resumes it.
+    /// The id of the event after which the upstream is to continue a stream; none for a new stream.
     pub resume_after: Option<&'a str>,
 }
 
-/// Something that an upstream may state in the head of an answer.
+/// A value that an upstream may state in the head of an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Stated<T> {
     /// The answer does not state it.
     #[default]
     Absent,
-    /// It has a value that is not understood, and from which nothing follows.
+    /// The answer states this text, which can't be parsed and is ignored.
     Unreadable(String),
-    /// It has this value.
+    /// The answer states this value.
     Value(T),
 }
 
-/// What the head of an upstream's answer says.
+/// What the head of an upstream's answer states.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerFacts {
-    /// The request that it belongs to.
+    /// The id of the request that the answer belongs to; empty if it names none.
     pub request_id: String,
     /// Whether the upstream states that it did not run the request.
     pub is_not_run: bool,
-    /// Whether another upstream has the address now.
+    /// Whether the request did not run because its address now belongs to another upstream than the one it was meant
+    /// for.
     pub is_misdirected: bool,
-    /// Whether the upstream served the request.
+    /// Whether the status of the answer is a success.
     pub is_success: bool,
-    /// Whether the upstream signed the answer as its own.
+    /// Whether the answer is marked as one of the upstream's own software. A successful answer without the mark is not
+    /// passed on.
     pub is_signed: bool,
-    /// Requests that run and wait at the upstream, if it says so.
+    /// Numbers of requests that run and that wait at the upstream; none if the answer does not state them.
     pub load: Option<(u32, u32)>,
-    /// Requests a second that the upstream takes from all nodes together.
+    /// Rate limit of the upstream, in requests per second from all nodes together.
     pub rate_limit_per_s: Stated<f64>,
-    /// Whether the upstream is about to leave.
+    /// Whether the upstream is about to leave the service.
     pub is_leaving: Stated<bool>,
-    /// Time for which an upstream that refused the request wants none from this node.
+    /// How long this node is to back off from the upstream, which refused the request.
     pub rest: Stated<Duration>,
-    /// How long the connection may stay unused.
+    /// How long the upstream keeps the connection open while it is idle; none if the answer does not say.
     pub keep_alive: Option<Duration>,
 }
 
-/// Where a caller is that asks for addresses.
+/// A caller's query for the addresses of nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectoryQuery {
-    /// Its data centre.
+    /// The data centre that the caller names as its own; none without one.
     pub data_centre: Option<DataCentreName>,
 }
 
-/// Why a document or head is not understood.
+/// Why a document or the head of a request can't be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct DialectError(pub String);
 
-/// Translation between a platform's words and the node's.
+/// Translates between a platform's wire format and the types of a node.
 pub trait Dialect {
     /// Reads the head of a caller's request.
     ///
     /// # Errors
-    /// When the head contradicts itself; the caller is told that the request is bad.
+    /// When the head is contradictory or incomplete; the caller receives a "bad request" reply.
     fn read_request(&self, uri: &Uri, headers: &HeaderMap) -> Result<RequestFacts, DialectError>;
 
-    /// Headers for an upstream, from those of the caller without the ones that concern a connection.
+    /// The headers of a request to an upstream. `headers` are those of the caller without hop-by-hop headers.
     fn upstream_headers(&self, headers: &HeaderMap, facts: &UpstreamFacts<'_>) -> HeaderMap;
 
-    /// How long callers wait for the first event of a stream of the route; none for plain calls.
+    /// How long callers wait for the first event of a stream of the route before they give up; none for plain calls.
     fn stream_patience(&self, route: &Route) -> Option<Duration>;
 
     /// Reads the head of an upstream's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
 
-    /// Whether the head of an answer at an upstream's health path says that this very upstream takes requests.
+    /// Whether the head of an answer from an upstream's health path states that this upstream, and not another one at
+    /// its address, accepts requests.
     fn is_taking_requests(
         &self,
         status: StatusCode,
@@ -115,21 +119,22 @@
         upstream: &UpstreamId,
     ) -> bool;
 
-    /// Adds the request's id, and the time to come back, to an answer of the node's own.
+    /// Adds the request id and the time after which to retry to the headers of a reply that the node generates itself.
+    /// `request_id` is empty if it is not known.
     fn own_answer(&self, headers: &mut HeaderMap, request_id: &str, retry_after: Option<Duration>);
 
-    /// Whether a call asks if the node is ready.
+    /// Whether a request is a readiness probe.
     fn is_readiness(&self, method: &Method, uri: &Uri) -> bool;
 
-    /// Reads a call for addresses; none when it is another call.
+    /// Parses a query for the addresses of nodes; none if the request is no such query.
     fn read_directory(&self, method: &Method, uri: &Uri) -> Option<DirectoryQuery>;
 
-    /// The answer to a call for addresses: content type and body.
+    /// The answer to a query for addresses, which callers may use for `lifetime`: content type and body.
     fn directory_answer(&self, addresses: &[String], lifetime: Duration) -> (&'static str, Bytes);
 
-    /// Reads a catalogue document.
+    /// Parses a catalogue document.
     ///
     /// # Errors
-    /// When the document is not one; the error names the place.
+    /// When the document is not a valid catalogue; the error names the invalid part.
     fn read_catalogue(&self, document: &[u8]) -> Result<Catalogue, DialectError>;
 }
--- a/crates/dragonflystep_edge/src/entry_runs.rs
+++ b/crates/dragonflystep_edge/src/entry_runs.rs
@@ -1,4 +1,5 @@
-//! What runs through this entry and what accounts spent through it, to tell a new owner.
+//! The active runs and the account usage of this node as an entry, the node that receives callers' requests. When the
+//! owner changes, the new owner is given both, so that it counts them.
 
 use {
     dragonflystep_dispatch::{
@@ -8,75 +9,77 @@
     std::{cell::RefCell, collections::HashMap, time::Duration},
 };
 
-/// A run of this entry.
+/// An active run that this entry node started.
 pub(crate) struct EntryRun {
     pub(crate) request: SlotRequest,
     pub(crate) upstream: UpstreamId,
     pub(crate) started_at: MonotonicTime,
-    /// The owner that counts it, with the connection over which it was reported.
+    /// The owner that counts the run, with the generation of the connection over which it knows of it.
     pub(crate) owner: (NodeName, u64),
 }
 
-/// Runs of this entry and what accounts spent through it, to tell a new owner of them.
+/// The active runs that this entry node started, and what accounts used through it.
 pub(crate) struct EntryRuns {
     pub(crate) runs: RefCell<HashMap<RunId, EntryRun>>,
-    spending: RefCell<UsageLedger>,
-    /// The owner that the spending was reported to last, with the connection.
-    spending_reported_to: RefCell<Option<(NodeName, u64)>>,
+    usage: RefCell<UsageLedger>,
+    /// The owner that the usage was last reported to, with the generation of the connection.
+    usage_reported_to: RefCell<Option<(NodeName, u64)>>,
 }
 
 impl EntryRuns {
     pub(crate) fn new(quota_window: Duration, is_first_start: bool) -> Self {
         Self {
             runs: RefCell::default(),
-            spending: RefCell::new(UsageLedger::new(quota_window, is_first_start)),
-            spending_reported_to: RefCell::default(),
+            usage: RefCell::new(UsageLedger::new(quota_window, is_first_start)),
+            usage_reported_to: RefCell::default(),
         }
     }
 
-    /// What accounts spent through this entry, unless it was reported to `owner`.
-    pub(crate) fn spending_for(
+    /// The report to `owner` of what accounts used through this node. None if the last report went to the same owner
+    /// over the same connection.
+    pub(crate) fn usage_report_for(
         &self,
         now: MonotonicTime,
         own: &NodeName,
         owner: &(NodeName, u64),
     ) -> Option<UsageReport> {
-        let mut reported_to = self.spending_reported_to.borrow_mut();
+        let mut reported_to = self.usage_reported_to.borrow_mut();
         if reported_to.as_ref() == Some(owner) {
             return None;
         }
         *reported_to = Some(owner.clone());
-        let mut spending = self.spending.borrow_mut();
-        Some(spending.report(now, own.clone(), &owner.0))
+        let mut usage = self.usage.borrow_mut();
+        Some(usage.report(now, own.clone(), &owner.0))
     }
 
-    /// Notes what the account of a run spent, or, with a factor below zero, takes it back.
-    pub(crate) fn note_spent(&self, now: MonotonicTime, run: &EntryRun, factor: f64) {
+    /// Records the quota units of a run, times `factor`, as usage of its account; a factor of -1 refunds them.
+    pub(crate) fn record_usage(&self, now: MonotonicTime, run: &EntryRun, factor: f64) {
         let Some(account) = &run.request.account else {
             return;
         };
         let units = factor * f64::from(run.request.quota_units);
-        let mut spending = self.spending.borrow_mut();
-        spending.record(now, account, &run.owner.0, units);
+        let mut usage = self.usage.borrow_mut();
+        usage.record(now, account, &run.owner.0, units);
     }
 
+    /// Number of active runs.
     pub(crate) fn count(&self) -> usize {
         self.runs.borrow().len()
     }
 
-    /// Runs of `service` that another owner, or an earlier connection, counts; they are counted by
-    /// `owner` from now on.
-    pub(crate) fn move_to(
+    /// Reassigns all runs of `service` to `owner` and returns those that so far were counted by another owner or known
+    /// over an earlier connection.
+    pub(crate) fn reassign(
         &self,
         now: MonotonicTime,
         service: &str,
         owner: &(NodeName, u64),
     ) -> Vec<ActiveRun> {
         let mut runs = self.runs.borrow_mut();
-        let moved = runs
+        let reassigned = runs
             .values_mut()
             .filter(|run| &*run.request.service == service && run.owner != *owner);
-        moved
+        reassigned
             .map(|run| {
                 run.owner = owner.clone();
                 ActiveRun {
--- a/crates/dragonflystep_edge/src/event_stream.rs
+++ b/crates/dragonflystep_edge/src/event_stream.rs
@@ -1,56 +1,60 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a byte stream of server-sent events into whole events, so that a stream can be resumed between two of them.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is kept together, in bytes; a longer one is passed on in pieces.
-const LONGEST_EVENT_BYTES: usize = 256 << 10;
+/// Longest event that is buffered as a whole, in bytes; a longer one is passed on in several chunks without an id.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// A whole event.
+/// A whole event, or a chunk of one that is too long or incomplete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StreamEvent {
+    /// The raw bytes, with the empty line that ends an event.
     pub(crate) bytes: Bytes,
+    /// The value of the first `id:` line; none without one, and for a chunk.
     pub(crate) id: Option<String>,
 }
 
-/// Cuts incoming bytes at the ends of events.
+/// Buffers incoming bytes and splits them at the empty lines that end events.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
-    held: BytesMut,
+pub(crate) struct EventSplitter {
+    buffer: BytesMut,
+    /// Bytes at the start of the buffer in which no event can end.
     scanned: usize,
 }
 
-impl EventCutter {
-    /// Takes bytes in.
+impl EventSplitter {
+    /// Appends received bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if one is there.
+    /// Removes and returns the next whole event, or the whole buffer if it exceeds the length limit; none until then.
     pub(crate) fn next_event(&mut self) -> Option<StreamEvent> {
         let Some(end) = self.find_end() else {
-            self.scanned = self.held.len().saturating_sub(3);
-            if self.held.len() <= LONGEST_EVENT_BYTES {
+            self.scanned = self.buffer.len().saturating_sub(3);
+            if self.buffer.len() <= MAX_EVENT_BYTES {
                 return None;
             }
-            return Some(self.rest());
+            return Some(self.take_remainder());
         };
         self.scanned = 0;
-        let bytes = self.held.split_to(end).freeze();
+        let bytes = self.buffer.split_to(end).freeze();
         let id = event_id(&bytes);
         Some(StreamEvent { bytes, id })
     }
 
-    /// What is held of an event that is not whole.
-    pub(crate) fn rest(&mut self) -> StreamEvent {
+    /// Removes and returns what is buffered of an incomplete event.
+    pub(crate) fn take_remainder(&mut self) -> StreamEvent {
         self.scanned = 0;
         StreamEvent {
-            bytes: self.held.split().freeze(),
+            bytes: self.buffer.split().freeze(),
             id: None,
         }
     }
 
+    /// The position after the first end of an event in the buffer.
     fn find_end(&self) -> Option<usize> {
-        let bytes = &self.held[self.scanned..];
+        let bytes = &self.buffer[self.scanned..];
         let end = bytes
             .windows(2)
             .position(|pair| pair == b"\n\n")
--- a/crates/dragonflystep_edge/src/head_check.rs
+++ b/crates/dragonflystep_edge/src/head_check.rs
@@ -1,46 +1,54 @@
-//! Checks the framing of requests strictly, before the HTTP library reads them.
+//! Strictly checks the framing of requests before the HTTP library parses them, to prevent request smuggling.
 //!
-//! A head that two parsers read differently can hide a second request within the first one. What is
-//! ambiguous is refused: repeated or contradicting lengths, line ends without a carriage return, folded
+//! If two parsers disagree about where a request ends, a second request can be hidden in the first one. Ambiguous
+//! framing is therefore rejected: repeated or contradictory lengths, line feeds without a carriage return, and folded
 //! headers.
 
-/// Why a connection's bytes are refused.
+/// Why the bytes of a connection are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FramingFault {
+    /// A line feed without a carriage return, a carriage return within a line, or a line that is too long.
     LineEnd,
+    /// A header line that continues the one before.
     FoldedHeader,
+    /// A header line without a colon or a name, or with white space in its name.
     HeaderName,
+    /// A body length that is repeated, contradictory or no number, or a transfer encoding other than `chunked`.
     Length,
+    /// A chunk with an invalid size, or without a line end after its data.
     Chunk,
 }
 
-/// Longest line of a head that is looked at, in bytes; a longer one is left to the library's limit.
-const LONGEST_LINE_BYTES: usize = 64 << 10;
+/// Longest line of a head or of trailers, in bytes; a longer one is rejected.
+const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Longest chunk size line, in bytes.
-const LONGEST_CHUNK_LINE_BYTES: usize = 256;
+/// Longest line with the size of a chunk, in bytes; a longer one is rejected.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Follows the bytes of a connection.
+/// Tracks the framing of the requests on a connection as their bytes arrive.
 #[derive(Debug)]
-pub(crate) struct HeadCheck {
+pub(crate) struct FramingCheck {
     state: State,
+    /// The start of a line whose end has not arrived yet.
     line: Vec<u8>,
+    /// Complete lines of the current head.
     lines: u32,
     content_length: Option<u64>,
     is_chunked: bool,
 }
 
+/// The part of a request that the next bytes belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    Body { left: u64 },
+    Body { remaining: u64 },
     ChunkSize,
-    ChunkData { left: u64 },
+    ChunkData { remaining: u64 },
     ChunkEnd { seen: u8 },
     Trailers,
 }
 
-impl Default for HeadCheck {
+impl Default for FramingCheck {
     fn default() -> Self {
         Self {
             state: State::Head,
@@ -52,22 +60,24 @@
     }
 }
 
-impl HeadCheck {
-    /// Whether a head has begun and is not complete.
+impl FramingCheck {
+    /// Whether part of a head has arrived, but not all of it.
     pub(crate) fn is_in_head(&self) -> bool {
         self.state == State::Head && (self.lines > 0 || !self.line.is_empty())
     }
 
-    /// Follows `bytes`.
+    /// Checks the next received bytes.
     pub(crate) fn feed(&mut self, mut bytes: &[u8]) -> Result<(), FramingFault> {
         while !bytes.is_empty() {
             bytes = match self.state {
-                State::Body { left } => {
-                    self.skip(bytes, left, State::Head, |left| State::Body { left })
+                State::Body { remaining } => {
+                    self.skip(bytes, remaining, State::Head, |remaining| State::Body {
+                        remaining,
+                    })
                 }
-                State::ChunkData { left } => {
-                    self.skip(bytes, left, State::ChunkEnd { seen: 0 }, |left| {
-                        State::ChunkData { left }
+                State::ChunkData { remaining } => {
+                    self.skip(bytes, remaining, State::ChunkEnd { seen: 0 }, |remaining| {
+                        State::ChunkData { remaining }
                     })
                 }
                 State::ChunkEnd { seen } => {
@@ -88,31 +98,34 @@
         Ok(())
     }
 
+    /// Skips up to `remaining` bytes of a body or chunk: the state becomes `after` once all of them have arrived, else
+    /// `during` of the rest. Returns the bytes that follow.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
-        left: u64,
+        remaining: u64,
         after: State,
         during: impl Fn(u64) -> State,
     ) -> &'a [u8] {
-        let taken = left.min(bytes.len() as u64);
-        self.state = if taken == left {
+        let taken = remaining.min(bytes.len() as u64);
+        self.state = if taken == remaining {
             after
         } else {
-            during(left - taken)
+            during(remaining - taken)
         };
         &bytes[taken as usize..]
     }
 
+    /// Collects bytes up to the end of a line and checks the line once it is complete. Returns the bytes that follow.
     fn feed_line<'a>(&mut self, bytes: &'a [u8]) -> Result<&'a [u8], FramingFault> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
-        let longest = if self.state == State::ChunkSize {
-            LONGEST_CHUNK_LINE_BYTES
+        let max_bytes = if self.state == State::ChunkSize {
+            MAX_CHUNK_LINE_BYTES
         } else {
-            LONGEST_LINE_BYTES
+            MAX_LINE_BYTES
         };
-        if self.line.len() + piece.len() > longest {
+        if self.line.len() + piece.len() > max_bytes {
             return Err(FramingFault::LineEnd);
         }
         self.line.extend_from_slice(piece);
@@ -127,20 +140,20 @@
             return Err(FramingFault::LineEnd);
         }
         match self.state {
-            State::ChunkSize => self.chunk_size(content)?,
+            State::ChunkSize => self.parse_chunk_size(content)?,
             State::Trailers => {
                 if content.is_empty() {
                     self.state = State::Head;
                 }
             }
-            _ => self.head_line(content)?,
+            _ => self.check_head_line(content)?,
         }
         Ok(&bytes[end + 1..])
     }
 
-    fn head_line(&mut self, line: &[u8]) -> Result<(), FramingFault> {
+    fn check_head_line(&mut self, line: &[u8]) -> Result<(), FramingFault> {
         if line.is_empty() {
-            // Empty lines before a request are permitted.
+            // Empty lines before a request line are permitted.
             if self.lines > 0 {
                 self.finish_head();
             }
@@ -160,7 +173,7 @@
             return Err(FramingFault::HeaderName);
         }
         if name.eq_ignore_ascii_case(b"content-length") {
-            return self.length(value);
+            return self.parse_content_length(value);
         }
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             if self.is_chunked
@@ -174,7 +187,7 @@
         Ok(())
     }
 
-    fn length(&mut self, value: &[u8]) -> Result<(), FramingFault> {
+    fn parse_content_length(&mut self, value: &[u8]) -> Result<(), FramingFault> {
         let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         if self.content_length.is_some() || self.is_chunked || !is_number {
             return Err(FramingFault::Length);
@@ -188,13 +201,13 @@
         self.lines = 0;
         self.state = match (self.content_length.take(), self.is_chunked) {
             (_, true) => State::ChunkSize,
-            (Some(left), false) if left > 0 => State::Body { left },
+            (Some(remaining), false) if remaining > 0 => State::Body { remaining },
             _ => State::Head,
         };
         self.is_chunked = false;
     }
 
-    fn chunk_size(&mut self, line: &[u8]) -> Result<(), FramingFault> {
+    fn parse_chunk_size(&mut self, line: &[u8]) -> Result<(), FramingFault> {
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
         let text = std::str::from_utf8(digits).map_err(|_| FramingFault::Chunk)?;
         let is_hex = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -204,7 +217,7 @@
         let size = u64::from_str_radix(text, 16).map_err(|_| FramingFault::Chunk)?;
         self.state = match size {
             0 => State::Trailers,
-            left => State::ChunkData { left },
+            remaining => State::ChunkData { remaining },
         };
         Ok(())
     }
--- a/crates/dragonflystep_edge/src/job.rs
+++ b/crates/dragonflystep_edge/src/job.rs
@@ -1,20 +1,21 @@
-//! A request that is routed and read whole: placed, sent, judged and answered.
+//! Dispatches a routed request with its whole body: requests a slot, sends the request to the upstream of the slot,
+//! interprets the answer and retries where that is allowed.
 //!
-//! A request that may not be repeated is sent once; it goes elsewhere only when nothing was sent, or when
-//! the upstream states that it did not run it. Each answer of the node's own that promises "not run" is
-//! given only while that is certain.
+//! A request that must not run twice is sent to another upstream only when nothing was sent to the first one, or when
+//! the first one states that it did not run the request. The node replies "not run" itself only when it is certain
+//! that the request did not run.
 
 use {
     crate::{
         answer::{AnswerBody, end_to_end_headers},
-        answers_of_own::OwnAnswer,
+        answers_of_own::LocalReply,
         attempts::Attempts,
         burn::{FAILED, IN_TIME, LATE, REFUSED},
         dialect::{AnswerFacts, RequestFacts, UpstreamFacts},
         limits::{ELSEWHERE_RETRY_AFTER, LATE_ANSWER_MARGIN, MOST_PLACES_ASKED},
         node::Node,
         placing::{Place, RunFigures},
-        relay::{Relay, read_whole},
+        relay::{Relay, buffer_answer},
         stop::OpenRequest,
         upstream_connections::{OpenConnection, SendError},
         upstream_health::confirm_upstream,
@@ -34,82 +35,85 @@
     tokio::{task::spawn_local, time::timeout},
 };
 
-/// Why a request was not sent to its upstream; it costs no attempt.
+/// Reasons for which a request was not sent to its upstream; such a dispatch does not count as an attempt.
 const UNREACHABLE: &str = "unreachable";
 const UNCONFIRMED: &str = "unconfirmed";
 const WITHHELD: &str = "withheld";
 
-/// A request that is routed and read whole.
+/// A routed request with its whole body, from its arrival until its final answer.
 pub(crate) struct Job {
     pub(crate) node: Rc<Node>,
     pub(crate) facts: RequestFacts,
     pub(crate) route: Arc<Route>,
     pub(crate) arrived: Instant,
-    /// When the caller's time, or that of the route, is over.
+    /// When the caller gives up or the timeout of the route ends, whichever comes first.
     pub(crate) deadline: Instant,
+    /// The account that pays for the request; none when the route needs no key.
     pub(crate) account: Option<Arc<Account>>,
     pub(crate) service: ServiceName,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
+    /// Hash of key, path and body, by which a request that comes again under another id is recognized.
     pub(crate) fingerprint: u64,
+    /// Units that the request takes from the quota of its account; 0 without a quota.
     pub(crate) quota_units: u32,
     pub(crate) tier: Tier,
-    /// Keeps a stopping node alive until the request is answered.
-    pub(crate) _open: OpenRequest,
+    /// Counts the request as open; a stopping node waits for open requests within its grace period.
+    pub(crate) _open_request: OpenRequest,
 }
 
-/// What came of one attempt.
-pub(crate) enum Sent {
-    /// An upstream's head of an answer that is to be passed on as it comes.
+/// The result of one dispatch.
+pub(crate) enum DispatchOutcome {
+    /// The upstream began a stream, which is relayed to the caller as it arrives.
     Streaming(Box<Relay>),
-    /// An upstream's whole answer.
-    Whole(Response<AnswerBody>),
-    /// The request did not run.
+    /// The whole answer of the upstream.
+    Buffered(Response<AnswerBody>),
+    /// The request did not run, for this reason.
     NotRun(&'static str),
-    /// The request may have run; there is no answer.
+    /// The request may have run, but there is no usable answer, for this reason.
     Unknown(&'static str),
 }
 
-impl Sent {
-    /// Whether nothing went to the upstream, which then costs no attempt.
+impl DispatchOutcome {
+    /// Whether nothing was sent to the upstream; the dispatch then does not count as an attempt.
     pub(crate) fn is_unsent(&self) -> bool {
         matches!(self, Self::NotRun(UNREACHABLE | UNCONFIRMED | WITHHELD))
     }
 }
 
 impl Job {
-    /// Gets places and sends the request until there is an answer.
+    /// Requests slots and sends the request until there is an answer or it may not be sent again.
     pub(crate) async fn run(self: Rc<Self>) -> Response<AnswerBody> {
         let mut attempts = Attempts::default();
-        let mut fallback = None;
+        let mut server_error = None;
         let response = loop {
-            let place = match attempts.place(&self).await {
-                Ok(place) => place,
-                Err(refusal) => break self.refused(refusal, &attempts, fallback),
+            let slot = match attempts.request_slot(&self).await {
+                Ok(slot) => slot,
+                Err(refusal) => break self.refuse(refusal, &attempts, server_error),
             };
-            attempts.observe_queued(&self);
-            match self.clone().send(&mut attempts, place).await {
-                Sent::Streaming(relay) => return relay.start(self, attempts),
-                Sent::Whole(response) => {
+            attempts.observe_queue_time(&self);
+            match self.clone().send(&mut attempts, slot).await {
+                DispatchOutcome::Streaming(relay) => return relay.start(self, attempts),
+                DispatchOutcome::Buffered(response) => {
                     let is_repeatable = self.is_repeatable() && response.status().is_server_error();
                     if !is_repeatable || !self.may_send_again(&attempts) {
                         break response;
                     }
-                    fallback = Some(response);
+                    server_error = Some(response);
                 }
-                Sent::NotRun(reason) => {
+                DispatchOutcome::NotRun(reason) => {
                     if !self.may_send_again(&attempts) {
-                        break self.gave_up(reason, &attempts, fallback);
+                        break self.give_up(reason, &attempts, server_error);
                     }
                 }
-                Sent::Unknown(reason) => {
+                DispatchOutcome::Unknown(reason) => {
                     attempts.has_run = true;
                     if !self.is_repeatable() || !self.may_send_again(&attempts) {
-                        break self.unknown(reason);
+                        break self.fail_unknown(reason);
                     }
-                    log::info!(request:% = self.facts.request_id, reason; "request is sent again");
+                    log::info!(request:% = self.facts.request_id, reason; "retrying a request that may have run");
                 }
             }
         };
@@ -117,7 +121,7 @@
         response
     }
 
-    /// Whether the request may run more than once.
+    /// Whether the request is safe to run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
         match self.route.kind {
             RouteKind::Idempotent => true,
@@ -126,10 +130,10 @@
         }
     }
 
-    /// Whether time and attempts are left.
+    /// Whether the deadline and the limits on attempts and slot requests allow another dispatch.
     pub(crate) fn may_send_again(&self, attempts: &Attempts) -> bool {
         attempts.sent < self.route.max_attempts.max(1)
-            && attempts.places < MOST_PLACES_ASKED
+            && attempts.slot_requests < MOST_PLACES_ASKED
             && Instant::now() < self.deadline
     }
 
@@ -137,16 +141,16 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time until the caller gives up a stream that has not begun.
-    fn patience_left(&self) -> Duration {
-        let patience = self.node.dialect.stream_patience(&self.route);
-        patience.map_or(Duration::MAX, |patience| {
-            patience.saturating_sub(self.arrived.elapsed())
+    /// Time until the caller gives up on a stream without a first event; unlimited if the route is no stream.
+    fn first_event_wait_left(&self) -> Duration {
+        let longest_wait = self.node.dialect.stream_patience(&self.route);
+        longest_wait.map_or(Duration::MAX, |longest_wait| {
+            longest_wait.saturating_sub(self.arrived.elapsed())
         })
     }
 
-    /// What the owner is asked for the next attempt.
-    pub(crate) fn ask(&self, attempts: &Attempts) -> SlotRequest {
+    /// The slot request for the next attempt.
+    pub(crate) fn slot_request(&self, attempts: &Attempts) -> SlotRequest {
         let longest_pause = match self.route.kind {
             RouteKind::Stream { longest_pause, .. } => Some(longest_pause),
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
@@ -160,7 +164,7 @@
             quota_units: self.quota_units,
             tier: self.tier,
             objective_left: self.route.objective.saturating_sub(self.arrived.elapsed()),
-            time_left: self.time_left().min(self.patience_left()),
+            time_left: self.time_left().min(self.first_event_wait_left()),
             longest_pause,
             size: self.facts.size.clone(),
             attempt: attempts.sent,
@@ -170,94 +174,98 @@
         }
     }
 
-    /// Sends the request to the upstream of its place.
+    /// Sends the request to the upstream of its slot.
     ///
-    /// What may not be repeated is not cancelled once it is sent, also when its caller leaves.
-    async fn send(self: Rc<Self>, attempts: &mut Attempts, place: Place) -> Sent {
-        attempts.count_sent(&place.grant.upstream);
-        let sent = if self.route.kind == RouteKind::NonIdempotent {
-            let task = spawn_local(self.send_once(place, None));
-            task.await.unwrap_or(Sent::Unknown("task_failed"))
+    /// A non-idempotent request is sent by a task of its own, so that it is not cancelled when its caller disconnects.
+    async fn send(self: Rc<Self>, attempts: &mut Attempts, slot: Place) -> DispatchOutcome {
+        attempts.count_sent(&slot.grant.upstream);
+        let outcome = if self.route.kind == RouteKind::NonIdempotent {
+            let task = spawn_local(self.send_once(slot, None));
+            task.await
+                .unwrap_or(DispatchOutcome::Unknown("task_failed"))
         } else {
-            self.send_once(place, None).await
+            self.send_once(slot, None).await
         };
-        if sent.is_unsent() {
-            attempts.take_back();
+        if outcome.is_unsent() {
+            attempts.uncount_sent();
         }
-        sent
+        outcome
     }
 
-    /// Sends the request once, after the event `resume_after` if it is a stream that goes on.
+    /// Sends the request once. `resume_after` names the last event received of an interrupted stream that is to be
+    /// continued.
     pub(crate) async fn send_once(
         self: Rc<Self>,
-        place: Place,
+        slot: Place,
         resume_after: Option<String>,
-    ) -> Sent {
-        if !confirm_upstream(&self.node, &self.service, &place.grant).await {
-            log::info!(request:% = self.facts.request_id, upstream:% = place.grant.upstream; "upstream does not confirm that it takes requests, and nobody else is heard");
-            place.end(RunOutcome::Unreachable, RunFigures::default());
-            return Sent::NotRun(UNCONFIRMED);
+    ) -> DispatchOutcome {
+        if !confirm_upstream(&self.node, &self.service, &slot.grant).await {
+            log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream; "upstream does not confirm that it takes requests, and nobody else is heard");
+            slot.end(RunOutcome::Unreachable, RunFigures::default());
+            return DispatchOutcome::NotRun(UNCONFIRMED);
         }
-        if !place.is_wanted() {
-            log::info!(request:% = self.facts.request_id, upstream:% = place.grant.upstream; "upstream wants no request, as this node was told; its place is given back");
-            place.withhold();
-            return Sent::NotRun(WITHHELD);
+        if !slot.accepts_requests() {
+            log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream; "upstream wants no request, as this node was told; its place is given back");
+            slot.return_unused();
+            return DispatchOutcome::NotRun(WITHHELD);
         }
-        let request = self.upstream_request(&place.grant.upstream, resume_after.as_deref());
-        let address = place.grant.address.clone();
-        let last = self.time_left() + LATE_ANSWER_MARGIN;
+        let request = self.upstream_request(&slot.grant.upstream, resume_after.as_deref());
+        let address = slot.grant.address.clone();
+        let time_limit = self.time_left() + LATE_ANSWER_MARGIN;
         let sent_at = Instant::now();
         let sending = self.node.connections.send(&address, request);
-        let (response, connection) = match timeout(last, sending).await {
+        let (response, connection) = match timeout(time_limit, sending).await {
             Ok(Ok(sent)) => sent,
             Ok(Err(SendError::NotSent(error))) => {
-                log::info!(request:% = self.facts.request_id, upstream:% = place.grant.upstream, error:%; "upstream can't be reached");
-                place.end(RunOutcome::Unreachable, RunFigures::default());
-                return Sent::NotRun(UNREACHABLE);
+                log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, error:%; "could not connect to the upstream");
+                slot.end(RunOutcome::Unreachable, RunFigures::default());
+                return DispatchOutcome::NotRun(UNREACHABLE);
             }
             Ok(Err(SendError::Broken(error))) => {
-                log::info!(request:% = self.facts.request_id, upstream:% = place.grant.upstream, error:%; "upstream broke off");
-                place.end(RunOutcome::Broken, RunFigures::default());
-                return Sent::Unknown("upstream_broke_off");
+                log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, error:%; "upstream broke off");
+                slot.end(RunOutcome::Broken, RunFigures::default());
+                return DispatchOutcome::Unknown("upstream_broke_off");
             }
             Err(_) => {
-                place.end(RunOutcome::Cancelled, RunFigures::default());
-                return Sent::Unknown("timeout");
+                slot.end(RunOutcome::Cancelled, RunFigures::default());
+                return DispatchOutcome::Unknown("timeout");
             }
         };
         let facts = self
             .node
             .dialect
             .read_answer(response.status(), response.headers());
-        if self.is_answered_by(&facts) && !facts.is_misdirected {
+        if self.belongs_to_request(&facts) && !facts.is_misdirected {
             let request_id = &self.facts.request_id;
-            place.observe_notices(request_id, &facts, sent_at.elapsed());
+            slot.observe_notices(request_id, &facts, sent_at.elapsed());
         }
         if let Some((running, waiting)) = facts.load
             && waiting > 0
         {
-            place.tell_load(running, waiting);
+            slot.report_load(running, waiting);
         }
-        self.judge(place, response, connection, facts).await
+        self.interpret_answer(slot, response, connection, facts)
+            .await
     }
 
-    /// Whether an answer is one to this request.
-    fn is_answered_by(&self, facts: &AnswerFacts) -> bool {
+    /// Whether an answer belongs to this request: it carries the request's id, or states that the upstream did not run
+    /// the request.
+    fn belongs_to_request(&self, facts: &AnswerFacts) -> bool {
         facts.request_id == self.facts.request_id || facts.is_not_run
     }
 
-    /// Decides what an upstream's head of an answer means.
-    async fn judge(
+    /// Decides by the head of an answer whether the request ran, and how the answer is passed on.
+    async fn interpret_answer(
         self: Rc<Self>,
-        place: Place,
+        slot: Place,
         response: Response<Incoming>,
         connection: OpenConnection,
         facts: AnswerFacts,
-    ) -> Sent {
-        if !self.is_answered_by(&facts) {
-            log::warn!(request:% = self.facts.request_id, other:% = facts.request_id; "an answer belongs to another request");
-            place.end(RunOutcome::Broken, RunFigures::default());
-            return Sent::Unknown("foreign_answer");
+    ) -> DispatchOutcome {
+        if !self.belongs_to_request(&facts) {
+            log::warn!(request:% = self.facts.request_id, other:% = facts.request_id; "received the answer to another request");
+            slot.end(RunOutcome::Broken, RunFigures::default());
+            return DispatchOutcome::Unknown("foreign_answer");
         }
         if facts.is_misdirected || facts.is_not_run {
             let outcome = if facts.is_misdirected {
@@ -265,39 +273,40 @@
             } else {
                 RunOutcome::Rejected
             };
-            log::info!(request:% = self.facts.request_id, upstream:% = place.grant.upstream, outcome:? = outcome; "upstream did not run the request");
-            place.end(outcome, RunFigures::default());
-            self.finish_unused(response, connection, &facts);
-            return Sent::NotRun("rejected");
+            log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, outcome:? = outcome; "upstream did not run the request");
+            slot.end(outcome, RunFigures::default());
+            self.drain_answer(response, connection, &facts);
+            return DispatchOutcome::NotRun("rejected");
         }
         if response.status().is_success() && !facts.is_signed {
-            place.end(RunOutcome::Failed, RunFigures::default());
-            return Sent::Unknown("unsigned_answer");
+            slot.end(RunOutcome::Failed, RunFigures::default());
+            return DispatchOutcome::Unknown("unsigned_answer");
         }
         let is_stream = matches!(self.route.kind, RouteKind::Stream { .. });
         if is_stream && response.status().is_success() {
-            let relay = Relay::new(place, response, connection, facts.keep_alive);
-            return Sent::Streaming(Box::new(relay));
+            let relay = Relay::new(slot, response, connection, facts.keep_alive);
+            return DispatchOutcome::Streaming(Box::new(relay));
         }
-        read_whole(&self, place, response, connection, &facts).await
+        buffer_answer(&self, slot, response, connection, &facts).await
     }
 
-    /// Reads the rest of an answer that says nothing more, so that its connection can be used again.
-    fn finish_unused(
+    /// Reads and discards the body of an answer in the background, so that its connection can be used again.
+    fn drain_answer(
         &self,
         response: Response<Incoming>,
         connection: OpenConnection,
         facts: &AnswerFacts,
     ) {
         let (node, keep_alive) = (self.node.clone(), facts.keep_alive);
-        let last = self.time_left();
+        let time_limit = self.time_left();
         spawn_local(async move {
-            if let Ok(Ok(_)) = timeout(last, response.into_body().collect()).await {
+            if let Ok(Ok(_)) = timeout(time_limit, response.into_body().collect()).await {
                 node.connections.keep(connection, keep_alive);
             }
         });
     }
 
+    /// The request as it is sent to an upstream: without hop-by-hop headers, with those that the dialect adds.
     fn upstream_request(
         &self,
         upstream: &UpstreamId,
@@ -321,21 +330,22 @@
         request
     }
 
-    fn refused(
+    /// Replies to a request for which the owner granted no slot.
+    fn refuse(
         &self,
         refusal: Refusal,
         attempts: &Attempts,
-        fallback: Option<Response<AnswerBody>>,
+        server_error: Option<Response<AnswerBody>>,
     ) -> Response<AnswerBody> {
-        let answer = OwnAnswer::refused(refusal);
-        if attempts.has_run || fallback.is_some() {
-            return self.gave_up(answer.reason, attempts, fallback);
+        let reply = LocalReply::from_refusal(refusal);
+        if attempts.has_run || server_error.is_some() {
+            return self.give_up(reply.reason, attempts, server_error);
         }
-        log::info!(request:% = self.facts.request_id, route:% = self.route.name, tier = self.tier, account = self.account_name(), quota_units = self.quota_units, reason = answer.reason, sent = attempts.sent, held_ms = ms(self.arrived.elapsed()), retry_after_ms = ms(refusal.retry_after); "request refused");
-        answer.response(&self.node, &self.facts.request_id)
+        log::info!(request:% = self.facts.request_id, route:% = self.route.name, tier = self.tier, account = self.account_name(), quota_units = self.quota_units, reason = reply.reason, sent = attempts.sent, held_ms = ms(self.arrived.elapsed()), retry_after_ms = ms(refusal.retry_after); "request refused");
+        reply.response(&self.node, &self.facts.request_id)
     }
 
-    /// The account for the log; empty when the request needs none.
+    /// The name of the account for log records; empty without an account.
     fn account_name(&self) -> &str {
         self.account.as_ref().map_or("", |account| &account.name)
     }
@@ -345,48 +355,49 @@
         self.node.metrics.count(counter, &self.route.name);
     }
 
-    /// Ends a request that no further upstream gets.
-    fn gave_up(
+    /// Ends a request that is not sent again. The caller receives the server error of an earlier attempt, if there was
+    /// one; otherwise the reply states whether the request may have run.
+    fn give_up(
         &self,
         reason: &'static str,
         attempts: &Attempts,
-        fallback: Option<Response<AnswerBody>>,
+        server_error: Option<Response<AnswerBody>>,
     ) -> Response<AnswerBody> {
-        if let Some(response) = fallback {
+        if let Some(response) = server_error {
             return response;
         }
         if attempts.has_run {
-            return self.unknown(reason);
+            return self.fail_unknown(reason);
         }
-        log::info!(request:% = self.facts.request_id, route:% = self.route.name, reason, held_ms = ms(self.arrived.elapsed()); "request ended without a run");
-        OwnAnswer::not_run(reason, ELSEWHERE_RETRY_AFTER)
+        log::info!(request:% = self.facts.request_id, route:% = self.route.name, reason, held_ms = ms(self.arrived.elapsed()); "request ended without having run");
+        LocalReply::not_run(reason, ELSEWHERE_RETRY_AFTER)
             .response(&self.node, &self.facts.request_id)
     }
 
-    /// Ends a request of which nobody knows whether it ran.
-    fn unknown(&self, reason: &'static str) -> Response<AnswerBody> {
+    /// Ends a request that may have run but has no answer.
+    fn fail_unknown(&self, reason: &'static str) -> Response<AnswerBody> {
         let status = if reason == "timeout" {
             StatusCode::GATEWAY_TIMEOUT
         } else {
             StatusCode::BAD_GATEWAY
         };
         log::warn!(request:% = self.facts.request_id, route:% = self.route.name, reason, held_ms = ms(self.arrived.elapsed()); "request ended, it may have run");
-        OwnAnswer::new(status, reason).response(&self.node, &self.facts.request_id)
+        LocalReply::new(status, reason).response(&self.node, &self.facts.request_id)
     }
 
-    /// Logs a final answer and takes its time.
+    /// Logs the final answer, records its latency and counts how the request ended.
     pub(crate) fn log_end(&self, status: StatusCode, attempts: &Attempts) {
         let elapsed = self.arrived.elapsed();
         self.node
             .metrics
             .observe("request_ms", &self.route.name, elapsed);
-        self.count_end(end_of(status, elapsed <= self.route.objective));
+        self.count_end(outcome_counter(status, elapsed <= self.route.objective));
         log::info!(request:% = self.facts.request_id, route:% = self.route.name, status = status.as_u16(), upstream = attempts.last_upstream(), sent = attempts.sent, queued_ms = ms(attempts.queued), total_ms = ms(elapsed), catalogue = self.node.views.catalogue_version(); "request ended");
     }
 }
 
-/// The counter of a request that ended with `status`.
-fn end_of(status: StatusCode, is_in_time: bool) -> &'static str {
+/// The counter for a request that ended with `status`.
+fn outcome_counter(status: StatusCode, is_in_time: bool) -> &'static str {
     match status.as_u16() {
         408 | 421 | 429 | 503 => REFUSED,
         code if code >= 500 => FAILED,
@@ -397,7 +408,7 @@
 
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
-    // A part of a valid URI is one.
+    // The path and query of a valid URI always parse.
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
 }
 
--- a/crates/dragonflystep_edge/src/logs.rs
+++ b/crates/dragonflystep_edge/src/logs.rs
@@ -1,7 +1,7 @@
-//! Structured logs on standard output: one JSON object a line, bounded, and never blocking.
+//! Structured logs on standard output, one JSON object per line, in bounded memory and without blocking the node.
 //!
-//! Lines are collected in memory and written by a thread of their own. What the output does not take, or
-//! what goes beyond the lines permitted a second, is left out and counted in a line of its own.
+//! Lines are collected in memory and written by a dedicated thread. Lines are dropped when the output is too slow or
+//! the number of lines per second exceeds the limit; a separate line states how many were dropped.
 
 use {
     log::{
@@ -21,40 +21,45 @@
     tokio::time::sleep,
 };
 
-/// Lines a second that are written; a node at its usual load writes a tenth.
-const MOST_LINES_PER_SECOND: u32 = 300;
+/// Lines per second beyond which only warnings and errors are logged; a node at its usual load writes a tenth of that.
+const MAX_LINES_PER_SECOND: u32 = 300;
 
-/// Time between two writes; short enough to read along.
+/// Time between two writes; short enough to follow the log live.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Batches that wait for a slow output.
-const MOST_BATCHES: usize = 8;
+/// Most batches that wait for a slow output; further ones are dropped.
+const MAX_WAITING_BATCHES: usize = 8;
 
-/// Targets of the project's own crates begin with this.
-const OWN_TARGETS: &str = "dragonflystep";
+/// Prefix of the log targets of this project's crates. Of other crates, only warnings and errors are logged.
+const OWN_TARGET_PREFIX: &str = "dragonflystep";
 
+/// Lines that were not yet handed to the writing thread, and the state of the rate limit.
 #[derive(Default)]
-struct Lines {
+struct PendingLines {
     text: String,
+    /// Lines in `text`.
     count: u32,
+    /// The current second, since the Unix epoch.
     second: u64,
+    /// Lines logged in the current second, dropped ones included.
     in_second: u32,
-    left_out: u64,
+    /// Lines dropped since the last batch was handed over.
+    dropped: u64,
 }
 
-/// Collects lines and hands them to the writing thread.
+/// Collects log lines and hands them to the writing thread in batches.
 #[derive(Clone)]
 pub struct LogBuffer {
-    lines: Arc<Mutex<Lines>>,
+    lines: Arc<Mutex<PendingLines>>,
     batches: SyncSender<String>,
 }
 
-/// Starts the log of this process with the node's name in each line.
+/// Starts the log of this process; each line contains the name of the node.
 ///
 /// # Errors
 /// When the process has a log already, or no thread can be started.
 pub fn start_log(node: &str, level: LevelFilter) -> Result<LogBuffer, LogError> {
-    let (batches, receiver) = sync_channel(MOST_BATCHES);
+    let (batches, receiver) = sync_channel(MAX_WAITING_BATCHES);
     thread::Builder::new()
         .name("log".to_owned())
         .stack_size(64 << 10)
@@ -69,7 +74,7 @@
     fern::Dispatch::new()
         .level(level)
         .filter(|metadata| {
-            metadata.target().starts_with(OWN_TARGETS) || metadata.level() <= Level::Warn
+            metadata.target().starts_with(OWN_TARGET_PREFIX) || metadata.level() <= Level::Warn
         })
         .chain(fern::Output::call(move |record| sink.push(&node, record)))
         .apply()
@@ -83,7 +88,7 @@
 pub struct LogError(String);
 
 impl LogBuffer {
-    /// Writes collected lines out from time to time, for as long as the node runs.
+    /// Periodically hands collected lines to the writing thread, for as long as the node runs.
     pub async fn run(self) {
         loop {
             sleep(WRITE_INTERVAL).await;
@@ -91,24 +96,23 @@
         }
     }
 
-    /// Hands collected lines to the writing thread, if it has room.
+    /// Hands collected lines to the writing thread, or drops them if too many batches already wait.
     pub fn flush(&self) {
         let Ok(mut lines) = self.lines.lock() else {
             return;
         };
-        if lines.text.is_empty() && lines.left_out == 0 {
+        if lines.text.is_empty() && lines.dropped == 0 {
             return;
         }
         let mut batch = std::mem::take(&mut lines.text);
         let count = std::mem::take(&mut lines.count);
-        let left_out = std::mem::take(&mut lines.left_out);
-        if left_out > 0 {
-            batch
-                .push_str(&json!({"message": "log lines left out", "lines": left_out}).to_string());
+        let dropped = std::mem::take(&mut lines.dropped);
+        if dropped > 0 {
+            batch.push_str(&json!({"message": "log lines left out", "lines": dropped}).to_string());
             batch.push('\n');
         }
         if self.batches.try_send(batch).is_err() {
-            lines.left_out = left_out + u64::from(count);
+            lines.dropped = dropped + u64::from(count);
         }
     }
 
@@ -124,8 +128,8 @@
             lines.in_second = 0;
         }
         lines.in_second += 1;
-        if lines.in_second > MOST_LINES_PER_SECOND && record.level() > Level::Warn {
-            lines.left_out += 1;
+        if lines.in_second > MAX_LINES_PER_SECOND && record.level() > Level::Warn {
+            lines.dropped += 1;
             return;
         }
         let line = json_line(node, now, record);
@@ -138,7 +142,7 @@
 fn write_batches(batches: &Receiver<String>) {
     let mut output = std::io::stdout();
     while let Ok(batch) = batches.recv() {
-        // A closed output loses lines; the node goes on.
+        // Lines are lost if the output is closed; the node keeps running.
         let _ = output.write_all(batch.as_bytes());
         let _ = output.flush();
     }
@@ -150,15 +154,15 @@
     fields.insert("level".to_owned(), json!(record.level().as_str()));
     fields.insert("node".to_owned(), json!(node));
     fields.insert("message".to_owned(), json!(record.args().to_string()));
-    let mut visitor = Fields(&mut fields);
+    let mut visitor = FieldCollector(&mut fields);
     // Collecting into a map can't fail.
     let _ = record.key_values().visit(&mut visitor);
     serde_json::Value::Object(fields).to_string()
 }
 
-struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
+struct FieldCollector<'a>(&'a mut Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldCollector<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let json = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => json!(number),
--- a/crates/dragonflystep_edge/src/metrics.rs
+++ b/crates/dragonflystep_edge/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, time::Duration};
 
-/// Upper bounds of the latency buckets, in milliseconds; they bracket objectives from 150 ms to 1.2 s.
+/// Upper bounds of the latency buckets, in milliseconds; they cover objectives from 150 ms to 1.2 s.
 const BUCKETS_MS: [u64; 12] = [
     5, 10, 25, 50, 100, 200, 400, 600, 1_000, 2_500, 5_000, 10_000,
 ];
@@ -16,6 +16,7 @@
 
 #[derive(Debug, Default)]
 struct Histogram {
+    /// Durations up to each upper bound, cumulative.
     buckets: [u64; BUCKETS_MS.len()],
     count: u64,
     sum_ms: f64,
@@ -47,7 +48,8 @@
         }
     }
 
-    /// All figures as text, one a line: name, label in braces, value.
+    /// Formats `gauges`, counters and histograms as text, one value per line: name, label in braces, value. The
+    /// buckets of a histogram are cumulative.
     ///
     /// # Examples
     /// ```
--- a/crates/dragonflystep_edge/src/owner.rs
+++ b/crates/dragonflystep_edge/src/owner.rs
@@ -1,4 +1,5 @@
-//! The owner's side of a node: the dispatcher, those who wait for its verdicts, and its clock.
+//! The owner role of a node: runs the dispatcher, supplies it with events and the time, and delivers its decisions to
+//! the slot requests that wait for them.
 
 use {
     crate::{
@@ -23,15 +24,19 @@
     },
 };
 
-/// The owner's side of a node.
+/// The owner role of a node: decides slot requests of this node and of others.
 pub(crate) struct Owner {
+    /// Start of the dispatcher's clock.
     started: Instant,
     dispatcher: RefCell<Dispatcher>,
-    waiting: RefCell<HashMap<RunId, oneshot::Sender<SlotDecision>>>,
+    /// Slot requests without a decision, by their run.
+    pending: RefCell<HashMap<RunId, oneshot::Sender<SlotDecision>>>,
+    /// How many of the nodes this one sees.
     visibility: Cell<Visibility>,
-    /// The nodes that were heard lately.
-    heard: Cell<Visibility>,
-    something_waits: Notify,
+    /// How many of the nodes this one has heard from recently.
+    recent_contacts: Cell<Visibility>,
+    /// Wakes the clock when a slot request has to wait.
+    request_queued: Notify,
     rollouts: Rc<Rollouts>,
 }
 
@@ -40,54 +45,56 @@
         Self {
             started: Instant::now(),
             dispatcher: RefCell::new(Dispatcher::new(limits)),
-            waiting: RefCell::default(),
+            pending: RefCell::default(),
             visibility: Cell::new(Visibility {
                 visible: 1,
                 known: 1,
             }),
-            heard: Cell::new(Visibility {
+            recent_contacts: Cell::new(Visibility {
                 visible: 1,
                 known: 1,
             }),
-            something_waits: Notify::new(),
+            request_queued: Notify::new(),
             rollouts,
         }
     }
 
+    /// Time since the node started, which is the dispatcher's clock.
     pub(crate) fn now(&self) -> MonotonicTime {
         self.started.elapsed()
     }
 
-    /// Requests that wait for a place here.
+    /// Number of slot requests that wait for a decision of this node.
     pub(crate) fn waiting_count(&self) -> usize {
-        self.waiting.borrow().len()
+        self.pending.borrow().len()
     }
 
-    /// Services that something is known of here.
+    /// Number of services that the dispatcher has state for.
     pub(crate) fn service_count(&self) -> usize {
         self.dispatcher.borrow().service_count()
     }
 
-    /// Hands an event to the dispatcher and its verdicts to those who wait for them.
+    /// Applies an event to the dispatcher and delivers the decisions that follow from it.
     pub(crate) fn apply(&self, event: Event) {
         let mut dispatcher = self.dispatcher.borrow_mut();
         let effects = dispatcher.reduce(self.now(), event);
-        let steps = dispatcher.take_rollout_steps();
+        let rollout_steps = dispatcher.take_rollout_steps();
         drop(dispatcher);
-        self.rollouts.push_steps(steps);
+        self.rollouts.push_steps(rollout_steps);
         for effect in effects {
-            self.deliver(effect);
+            self.deliver_decision(effect);
         }
     }
 
+    /// How many of the nodes this one sees.
     pub(crate) fn visibility(&self) -> Visibility {
         self.visibility.get()
     }
 
-    /// Notes how much of the system this node sees; says what it saw before if that changed.
+    /// Stores how many of the nodes this one sees; returns the former value if it changed.
     ///
-    /// A line is logged where it comes to see most of the nodes, or no longer does: when a cut between hundreds of nodes
-    /// ends, each of them sees another number of them several times a second.
+    /// Only gaining or losing sight of the majority is logged, not every change: when a network partition between
+    /// hundreds of nodes heals, the number changes several times a second at each of them.
     pub(crate) fn set_visibility(&self, visibility: Visibility) -> Option<Visibility> {
         let before = self.visibility.replace(visibility);
         if before == visibility {
@@ -100,75 +107,76 @@
         Some(before)
     }
 
-    /// Notes how many of the nodes were heard lately.
-    pub(crate) fn set_heard(&self, heard: Visibility) {
-        if self.heard.replace(heard) != heard {
-            self.apply(Event::RecentContactsChanged(heard));
+    /// Stores how many of the nodes this one has heard from recently.
+    pub(crate) fn set_heard(&self, recent_contacts: Visibility) {
+        if self.recent_contacts.replace(recent_contacts) != recent_contacts {
+            self.apply(Event::RecentContactsChanged(recent_contacts));
         }
     }
 
-    /// Whether most nodes were heard lately.
+    /// Whether this node has heard from most of the nodes recently.
     pub(crate) fn hears_majority(&self) -> bool {
-        self.heard.get().is_majority()
+        self.recent_contacts.get().is_majority()
     }
 
-    /// What upstreams said of themselves and another node has to know.
+    /// Notices by upstreams that other nodes need to know.
     pub(crate) fn notices(&self) -> Vec<UpstreamNotice> {
         self.dispatcher.borrow().notices(self.now())
     }
 
-    /// Requests a second that an upstream takes from all nodes together, if it names a limit.
+    /// The rate limit that an upstream stated, in requests per second from all nodes together; none without a limit.
     pub(crate) fn rate_limit(&self, upstream: &UpstreamId) -> Option<f64> {
         self.dispatcher.borrow().rate_limit(upstream)
     }
 
-    /// Whether an upstream said that it leaves.
+    /// Whether an upstream has announced that it is leaving.
     pub(crate) fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         self.dispatcher.borrow().is_leaving(upstream)
     }
 
-    /// Whether an upstream wants no requests of a node now.
+    /// Whether an upstream has asked a node to back off for a time that is not over yet.
     pub(crate) fn wants_back_off_from(&self, upstream: &UpstreamId, node: NodeIncarnation) -> bool {
         let dispatcher = self.dispatcher.borrow();
         dispatcher.wants_back_off_from(self.now(), upstream, node)
     }
 
-    /// Asks for a place and waits for the verdict; dropping the future withdraws the request.
+    /// Requests a slot and waits for the decision; dropping the future withdraws the request.
     pub(crate) async fn ask(self: Rc<Self>, request: SlotRequest) -> SlotDecision {
         let (sender, receiver) = oneshot::channel();
-        let mut guard = AskGuard {
+        let mut guard = WithdrawGuard {
             owner: self.clone(),
             service: request.service.clone(),
             run: request.run,
             is_armed: true,
         };
-        self.waiting.borrow_mut().insert(request.run, sender);
+        self.pending.borrow_mut().insert(request.run, sender);
         self.apply(Event::SlotRequested(request));
         if self.waiting_count() > 0 {
-            self.something_waits.notify_one();
+            self.request_queued.notify_one();
         }
         let decision = receiver.await;
         guard.is_armed = false;
-        // The sender lives in the map until a verdict is sent.
+        // The default never applies in practice: the sender stays in the map until the decision is sent.
         decision.unwrap_or(SlotDecision::Refused(dragonflystep_dispatch::Refusal {
             reason: RefusalReason::NoUpstream,
             retry_after: Duration::from_millis(200),
         }))
     }
 
-    /// Notes the end of a run, or of the wait for a place.
-    pub(crate) fn ended(&self, ended: RunReport) {
-        if self.waiting.borrow_mut().remove(&ended.run).is_some() {
-            self.apply(Event::RequestWithdrawn(ended.service.clone(), ended.run));
+    /// Applies the end of a run. A slot request that still waits is withdrawn.
+    pub(crate) fn ended(&self, report: RunReport) {
+        if self.pending.borrow_mut().remove(&report.run).is_some() {
+            self.apply(Event::RequestWithdrawn(report.service.clone(), report.run));
         }
-        self.apply(Event::RunEnded(ended));
+        self.apply(Event::RunEnded(report));
     }
 
+    /// Counts a run that another owner counted before.
     pub(crate) fn adopt(&self, run: ActiveRun) {
         self.apply(Event::RunAdopted(run));
     }
 
-    /// Lets time pass for the dispatcher for as long as the node runs.
+    /// Applies clock ticks to the dispatcher for as long as the node runs, more often while slot requests wait.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
             if self.waiting_count() > 0 {
@@ -176,45 +184,45 @@
             } else {
                 tokio::select! {
                     () = sleep(IDLE_TICK) => {}
-                    () = self.something_waits.notified() => continue,
+                    () = self.request_queued.notified() => continue,
                 }
             }
             self.apply(Event::Ticked);
         }
     }
 
-    /// Logs from time to time what the owner believes, for as long as the node runs.
+    /// Periodically logs the dispatcher's view of each service and its upstreams, for as long as the node runs.
     pub(crate) async fn log_beliefs(self: Rc<Self>) {
         loop {
             sleep(BELIEF_LOG_INTERVAL).await;
             let summaries = self.dispatcher.borrow_mut().summaries(self.now());
             for summary in summaries {
-                log::info!(service:% = summary.service, granted = summary.granted, waiting = summary.waiting, upstreams:% = describe(&summary); "owner's beliefs");
+                log::info!(service:% = summary.service, granted = summary.granted, waiting = summary.waiting, upstreams:% = format_upstreams(&summary); "owner's beliefs");
             }
         }
     }
 
-    fn deliver(&self, effect: Effect) {
-        let Some(sender) = self.waiting.borrow_mut().remove(&effect.run) else {
+    fn deliver_decision(&self, effect: Effect) {
+        let Some(sender) = self.pending.borrow_mut().remove(&effect.run) else {
             return;
         };
         if let Err(SlotDecision::Granted(grant)) = sender.send(effect.decision) {
-            // The one who asked is dropped at this moment; its guard frees the place.
+            // The requester is being dropped right now; its guard frees the slot.
             let Grant { upstream, .. } = grant;
-            log::debug!(run = effect.run, upstream:%; "a place came too late");
+            log::debug!(run = effect.run, upstream:%; "a slot was granted to a request that is gone");
         }
     }
 }
 
-/// Takes a request back whose asker is gone.
-struct AskGuard {
+/// Withdraws a slot request if its future is dropped before the decision.
+struct WithdrawGuard {
     owner: Rc<Owner>,
     service: ServiceName,
     run: RunId,
     is_armed: bool,
 }
 
-impl Drop for AskGuard {
+impl Drop for WithdrawGuard {
     fn drop(&mut self) {
         if self.is_armed {
             self.owner.ended(cancelled(self.service.clone(), self.run));
@@ -222,18 +230,19 @@
     }
 }
 
-/// Upstreams as ID:RUNNING/PREFILL_US/EVENT_MS/FAILURES, those at rest with an exclamation mark, those that limit their rate
-/// with the requests a second that this owner may send, as ID~RATE.
-fn describe(summary: &PoolSummary) -> String {
+/// Formats the upstreams of a service as `ID:RUNNING/PREFILL_US/EVENT_MS/FAILURES`: active runs, prefill time per
+/// token in microseconds, time between events in milliseconds, and failure rate. `ID!` marks an upstream that is not
+/// usable now; `ID~RATE` is rate limited, and this owner may send it RATE requests per second.
+fn format_upstreams(summary: &PoolSummary) -> String {
     let mut text = String::new();
     for upstream in &summary.upstreams {
-        let rests = if upstream.is_usable { "" } else { "!" };
-        let limit = upstream
+        let unusable_mark = if upstream.is_usable { "" } else { "!" };
+        let rate_limit = upstream
             .limited_per_s
             .map_or(String::new(), |rate| format!("~{rate:.2}"));
         let _ = write!(
             text,
-            "{}{rests}{limit}:{}/{:.0}/{:.1}/{:.2} ",
+            "{}{unusable_mark}{rate_limit}:{}/{:.0}/{:.1}/{:.2} ",
             upstream.id,
             upstream.running,
             upstream.prefill_us_per_token,
@@ -244,7 +253,7 @@
     text
 }
 
-/// The end of a run that says nothing about its upstream.
+/// The report of a cancelled run. It counts neither for nor against the upstream.
 pub(crate) fn cancelled(service: ServiceName, run: RunId) -> RunReport {
     RunReport {
         run,
--- a/crates/dragonflystep_edge/src/placing.rs
+++ b/crates/dragonflystep_edge/src/placing.rs
@@ -1,4 +1,5 @@
-//! The entry's side of a place: finding the owner, and telling it how the run ended.
+//! Slots as the entry node sees them, the node that received the caller's request: it finds the owner of the services,
+//! requests a slot from it, and reports to it how the run ended.
 
 use {
     crate::{
@@ -21,37 +22,38 @@
     },
 };
 
-/// A place at an upstream that was given to a request, until its run's end is reported.
+/// A slot at an upstream that the owner granted to a request. It is held until the end of the run is reported.
 ///
-/// Dropped before, it tells the owner that the run was cancelled.
+/// Dropping it without a call of [`Place::end`] reports the run as cancelled.
 pub struct Place {
     node: Rc<Node>,
     run: RunId,
     service: dragonflystep_dispatch::ServiceName,
     started: Instant,
     is_ended: bool,
-    /// Where the request goes.
+    /// The upstream that the request is to be sent to, and its address.
     pub grant: Grant,
 }
 
-/// What a run showed of its upstream.
+/// Event count and timings of one run, as the entry node observed them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunFigures {
-    /// Time from the place to the first event; none for a plain call.
+    /// Time from the grant of the slot to the first event; none before that, and for plain calls.
     pub to_first_event: Option<Duration>,
-    /// Events of the stream.
+    /// Events of the stream that have arrived.
     pub events: u32,
-    /// Longest pause between two of them.
+    /// Longest pause between two consecutive events.
     pub longest_pause: Duration,
 }
 
 impl Place {
-    /// Time since the place was given.
+    /// Time since this node was granted the slot.
     pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Applies what an answer to `request_id` says of the upstream, also at the owner that gave the place.
+    /// Applies the notices that the answer to `request_id` carries about the upstream, here and at the owner that
+    /// granted the slot. The request was sent `sent_ago` before.
     pub fn observe_notices(&self, request_id: &str, facts: &AnswerFacts, sent_ago: Duration) {
         let notices = self.node.observe_notices(&ObservedAnswer {
             service: &self.service,
@@ -60,37 +62,38 @@
             facts,
             sent_ago,
         });
-        self.tell_owner(notices);
+        self.share_notices(notices);
     }
 
-    /// Tells another owner that gave the place what upstreams said of themselves.
-    fn tell_owner(&self, notices: Vec<UpstreamNotice>) {
+    /// Sends upstream notices to the owner that granted the slot, if it is another node.
+    fn share_notices(&self, notices: Vec<UpstreamNotice>) {
         if notices.is_empty() {
             return;
         }
         let owner = self.owner();
         if let Some(link) = owner.and_then(|owner| self.node.members.link(&owner)) {
-            spawn_local(tell_notices(link, notices));
+            spawn_local(send_notices(link, notices));
         }
     }
 
-    /// Whether the upstream takes requests of this node, by what it said of itself.
-    pub(crate) fn is_wanted(&self) -> bool {
+    /// Whether the upstream accepts requests from this node. By the notices known here, it has not asked the node to
+    /// back off and is not leaving.
+    pub(crate) fn accepts_requests(&self) -> bool {
         let (node, upstream) = (&self.node, &self.grant.upstream);
-        let is_resting = node
+        let must_back_off = node
             .owner
             .wants_back_off_from(upstream, node.node_incarnation());
-        !is_resting && !node.owner.is_leaving(upstream)
+        !must_back_off && !node.owner.is_leaving(upstream)
     }
 
-    /// Gives the place back unused, and tells the owner why.
-    pub(crate) fn withhold(self) {
-        self.tell_owner(self.node.owner.notices());
+    /// Returns the slot unused and sends the owner the notices that are the reason.
+    pub(crate) fn return_unused(self) {
+        self.share_notices(self.node.owner.notices());
         self.end(RunOutcome::Withheld, RunFigures::default());
     }
 
-    /// Tells the owner that requests wait at the upstream.
-    pub(crate) fn tell_load(&self, running: u32, waiting: u32) {
+    /// Reports to the owner that requests are queued at the upstream.
+    pub(crate) fn report_load(&self, running: u32, waiting: u32) {
         let load = UpstreamLoad {
             service: self.service.clone(),
             upstream: self.grant.upstream.clone(),
@@ -109,23 +112,23 @@
         };
         spawn_local(async move {
             if let Err(error) = link.report_load(&load).await {
-                log::debug!(error:%; "an owner was not told of a load");
+                log::debug!(error:%; "could not report the load of an upstream to its owner");
             }
         });
     }
 
-    /// The owner that counts this run.
+    /// The owner that counts this run; none once the end of the run is reported.
     fn owner(&self) -> Option<NodeName> {
         let runs = self.node.entry_runs.runs.borrow();
         Some(runs.get(&self.run)?.owner.0.clone())
     }
 
-    /// Tells the owner how the run ended.
+    /// Reports to the owner how the run ended.
     pub fn end(mut self, outcome: RunOutcome, figures: RunFigures) {
-        self.tell(outcome, figures);
+        self.report_end(outcome, figures);
     }
 
-    fn tell(&mut self, outcome: RunOutcome, figures: RunFigures) {
+    fn report_end(&mut self, outcome: RunOutcome, figures: RunFigures) {
         self.is_ended = true;
         let metrics = &self.node.metrics;
         metrics.count("upstream_outcomes_total", outcome.name());
@@ -134,9 +137,9 @@
             return;
         };
         if !outcome.has_run() {
-            runs.note_spent(self.node.owner.now(), &run, -1.0);
+            runs.record_usage(self.node.owner.now(), &run, -1.0);
         }
-        let ended = RunReport {
+        let report = RunReport {
             run: self.run,
             service: self.service.clone(),
             outcome,
@@ -144,22 +147,24 @@
             to_end: self.elapsed(),
             events: figures.events,
         };
-        tell_ended(&self.node, &run.owner.0, ended);
+        report_run_end(&self.node, &run.owner.0, report);
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
         if !self.is_ended {
-            self.tell(RunOutcome::Cancelled, RunFigures::default());
+            self.report_end(RunOutcome::Cancelled, RunFigures::default());
         }
     }
 }
 
-/// Asks the owner of the service for a place, or the next one by rank if it does not answer.
+/// Requests a slot from the owner of the service, or from the node of the next rank if the owner does not answer.
+///
+/// This node decides itself when it is next in rank, or when the permitted number of other nodes did not answer.
 ///
 /// # Errors
-/// When the owner refuses the request; it has not run.
+/// When the deciding node refuses the request; it has not run.
 pub async fn obtain(
     node: &Rc<Node>,
     mut request: SlotRequest,
@@ -168,19 +173,21 @@
     let (objective_left, time_left) = (request.objective_left, request.time_left);
     let ranked = node.ranked_owners(MOST_OWNERS_ASKED + 1);
     node.note_owner(ranked.first());
-    let mut asked = 0;
+    let mut owners_asked = 0;
     for owner in ranked {
-        if owner == node.settings.node || asked == MOST_OWNERS_ASKED {
+        if owner == node.settings.node || owners_asked == MOST_OWNERS_ASKED {
             break;
         }
         let Some(link) = node.members.link(&owner) else {
             continue;
         };
-        asked += 1;
+        owners_asked += 1;
         request.objective_left = objective_left.saturating_sub(started.elapsed());
         request.time_left = time_left.saturating_sub(started.elapsed());
-        match ask_owner(node, &owner, &link, &request).await {
-            Ok(decision) => return place(node, request, (owner, link.generation()), decision),
+        match request_from_owner(node, &owner, &link, &request).await {
+            Ok(decision) => {
+                return accept_decision(node, request, (owner, link.generation()), decision);
+            }
             Err(error) => node.members.failed(node.owner.now(), &owner, &error),
         }
     }
@@ -189,20 +196,21 @@
     let owner = (node.settings.node.clone(), 0);
     node.update_heard();
     let now = node.owner.now();
-    for run in node.entry_runs.move_to(now, &request.service, &owner) {
+    for run in node.entry_runs.reassign(now, &request.service, &owner) {
         node.owner.adopt(run);
     }
     if let Some(report) = node
         .entry_runs
-        .spending_for(now, &node.settings.node, &owner)
+        .usage_report_for(now, &node.settings.node, &owner)
     {
         node.owner.apply(Event::UsageReported(report));
     }
     let decision = node.owner.clone().ask(request.clone()).await;
-    place(node, request, owner, decision)
+    accept_decision(node, request, owner, decision)
 }
 
-fn place(
+/// Records a granted run, with the owner that counts it, and returns its slot.
+fn accept_decision(
     node: &Rc<Node>,
     request: SlotRequest,
     owner: (NodeName, u64),
@@ -212,7 +220,7 @@
         SlotDecision::Granted(grant) => grant,
         SlotDecision::Refused(refusal) => return Err(refusal),
     };
-    let place = Place {
+    let slot = Place {
         node: node.clone(),
         run: request.run,
         service: request.service.clone(),
@@ -221,26 +229,27 @@
         grant,
     };
     let run = EntryRun {
-        upstream: place.grant.upstream.clone(),
+        upstream: slot.grant.upstream.clone(),
         started_at: node.owner.now(),
         owner,
         request,
     };
     let runs = &node.entry_runs;
-    runs.note_spent(node.owner.now(), &run, 1.0);
-    runs.runs.borrow_mut().insert(place.run, run);
-    Ok(place)
+    runs.record_usage(node.owner.now(), &run, 1.0);
+    runs.runs.borrow_mut().insert(slot.run, run);
+    Ok(slot)
 }
 
-/// Asks another node, and looks for a sign of life as long as it keeps the request waiting.
-async fn ask_owner(
+/// Requests a slot from another node. While the decision is pending, the node is probed whenever it has been silent
+/// for a while; if it does not answer the probe, the request fails.
+async fn request_from_owner(
     node: &Rc<Node>,
     owner: &NodeName,
     link: &Rc<PeerLink>,
     request: &SlotRequest,
 ) -> Result<SlotDecision, PeerError> {
     link.open().await?;
-    tell_new_owner(node, owner, link, request).await;
+    hand_over_to(node, owner, link, request).await;
     let mut guard = WithdrawGuard {
         node,
         owner,
@@ -268,10 +277,11 @@
     }
 }
 
-/// Reports this entry's runs and what accounts spent through it to an owner, unless it was done.
+/// Reports this node's active runs and account usage to an owner that has not received them over this connection
+/// yet.
 ///
-/// Messages of one connection arrive in order, so that the owner counts these before the next request.
-async fn tell_new_owner(
+/// Messages of one connection arrive in order, so the owner counts these before it decides the next slot request.
+async fn hand_over_to(
     node: &Rc<Node>,
     owner: &NodeName,
     link: &Rc<PeerLink>,
@@ -279,44 +289,44 @@
 ) {
     let now = node.owner.now();
     let counted_by = (owner.clone(), link.generation());
-    let moved = node.entry_runs.move_to(now, &request.service, &counted_by);
-    let spending = node
+    let moved_runs = node.entry_runs.reassign(now, &request.service, &counted_by);
+    let usage_report = node
         .entry_runs
-        .spending_for(now, &node.settings.node, &counted_by);
-    if moved.is_empty() && spending.is_none() {
+        .usage_report_for(now, &node.settings.node, &counted_by);
+    if moved_runs.is_empty() && usage_report.is_none() {
         return;
     }
-    if let Some(report) = spending {
+    if let Some(report) = usage_report {
         let notices = node.owner.notices();
         if !notices.is_empty() {
-            spawn_local(tell_notices(link.clone(), notices));
+            spawn_local(send_notices(link.clone(), notices));
         }
         let link = link.clone();
         spawn_local(async move {
             if let Err(error) = link.report_usage(&report).await {
-                log::debug!(error:%; "a new owner was not told of what accounts spent");
+                log::debug!(error:%; "could not report account usage to a new owner");
             }
         });
     }
-    if !moved.is_empty() {
+    if !moved_runs.is_empty() {
         let link = link.clone();
         spawn_local(async move {
-            if let Err(error) = link.adopt_runs(&moved).await {
-                log::debug!(error:%; "a new owner was not told of runs");
+            if let Err(error) = link.adopt_runs(&moved_runs).await {
+                log::debug!(error:%; "could not report active runs to a new owner");
             }
         });
     }
     tokio::task::yield_now().await;
 }
 
-/// Tells an owner what upstreams said of themselves.
-async fn tell_notices(link: Rc<PeerLink>, notices: Vec<UpstreamNotice>) {
+/// Sends upstream notices to an owner.
+async fn send_notices(link: Rc<PeerLink>, notices: Vec<UpstreamNotice>) {
     if let Err(error) = link.share_notices(&notices).await {
-        log::debug!(error:%; "an owner was not told what upstreams said of themselves");
+        log::debug!(error:%; "could not send upstream notices to an owner");
     }
 }
 
-/// Withdraws a request from another owner when its asker is gone.
+/// Withdraws a slot request from another owner if it is dropped before the decision arrives.
 struct WithdrawGuard<'a> {
     node: &'a Rc<Node>,
     owner: &'a NodeName,
@@ -327,24 +337,25 @@
 impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            let ended = cancelled(self.request.service.clone(), self.request.run);
-            tell_ended(self.node, self.owner, ended);
+            let report = cancelled(self.request.service.clone(), self.request.run);
+            report_run_end(self.node, self.owner, report);
         }
     }
 }
 
-fn tell_ended(node: &Rc<Node>, owner: &NodeName, ended: RunReport) {
+/// Reports the end of a run, or of the wait for a slot, to its owner.
+fn report_run_end(node: &Rc<Node>, owner: &NodeName, report: RunReport) {
     if *owner == node.settings.node {
-        node.owner.ended(ended);
+        node.owner.ended(report);
         return;
     }
     let Some(link) = node.members.link(owner) else {
         return;
     };
     spawn_local(async move {
-        if let Err(error) = link.report_run_end(&ended).await {
-            // The owner frees the place when it sees the connection's end.
-            log::debug!(run = ended.run, error:%; "an owner was not told of a run's end");
+        if let Err(error) = link.report_run_end(&report).await {
+            // The owner frees the slot when it sees that the connection has ended.
+            log::debug!(run = report.run, error:%; "could not report the end of a run to its owner");
         }
     });
 }
--- a/crates/dragonflystep_edge/src/relay.rs
+++ b/crates/dragonflystep_edge/src/relay.rs
@@ -1,8 +1,8 @@
-//! Passes answers of upstreams on: plain ones whole, streams event by event.
+//! Relays answers of upstreams to callers: answers to plain calls whole, streams event by event.
 //!
-//! A stream whose upstream breaks off goes on at another one where its route allows it, after the last
-//! whole event that arrived; the caller sees one answer. Otherwise the caller's connection ends without
-//! the end of the body, so that a cut answer never looks complete.
+//! When a stream breaks off and its route is resumable, it is continued at another upstream after the last whole event
+//! that arrived, and the caller sees a single answer. Otherwise the caller's connection is closed without the end of
+//! the body, so that a truncated answer never looks complete.
 
 use {
     crate::{
@@ -10,8 +10,8 @@
         attempts::Attempts,
         burn::{CALLER_LEFT, FAILED, IN_TIME, LATE},
         dialect::AnswerFacts,
-        event_stream::{EventCutter, StreamEvent},
-        job::{Job, Sent, ms},
+        event_stream::{EventSplitter, StreamEvent},
+        job::{DispatchOutcome, Job, ms},
         limits::{LATE_ANSWER_MARGIN, LONGEST_PLAIN_ANSWER_BYTES, STREAM_PIECES},
         placing::{Place, RunFigures},
         upstream_connections::OpenConnection,
@@ -29,54 +29,56 @@
     },
 };
 
-/// Reads a plain answer whole, so that a cut one never reaches the caller as a success.
-pub(crate) async fn read_whole(
+/// Reads the answer to a plain call whole before any of it is passed on, so that the caller never receives a truncated
+/// answer as a success.
+pub(crate) async fn buffer_answer(
     job: &Rc<Job>,
-    place: Place,
+    slot: Place,
     response: Response<Incoming>,
     connection: OpenConnection,
     facts: &AnswerFacts,
-) -> Sent {
+) -> DispatchOutcome {
     let (head, body) = response.into_parts();
-    let last = job.time_left() + LATE_ANSWER_MARGIN;
+    let time_limit = job.time_left() + LATE_ANSWER_MARGIN;
     let body = match timeout(
-        last,
+        time_limit,
         Limited::new(body, LONGEST_PLAIN_ANSWER_BYTES).collect(),
     )
     .await
     {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            log::info!(request:% = job.facts.request_id, upstream:% = place.grant.upstream, error:%; "an answer was cut");
-            place.end(RunOutcome::Broken, RunFigures::default());
-            return Sent::Unknown("answer_cut");
+            log::info!(request:% = job.facts.request_id, upstream:% = slot.grant.upstream, error:%; "an answer was cut");
+            slot.end(RunOutcome::Broken, RunFigures::default());
+            return DispatchOutcome::Unknown("answer_cut");
         }
         Err(_) => {
-            place.end(RunOutcome::Cancelled, RunFigures::default());
-            return Sent::Unknown("timeout");
+            slot.end(RunOutcome::Cancelled, RunFigures::default());
+            return DispatchOutcome::Unknown("timeout");
         }
     };
     job.node.connections.keep(connection, facts.keep_alive);
     let outcome = if head.status == StatusCode::GATEWAY_TIMEOUT {
-        // The time that the request had was too short; that says nothing about the upstream.
+        // The time left for the request was too short, which does not count as a failure of the upstream.
         RunOutcome::Cancelled
     } else if head.status.is_server_error() {
         RunOutcome::Failed
     } else {
         RunOutcome::Completed
     };
-    place.end(outcome, RunFigures::default());
-    if promises_not_run(head.status) {
-        // The upstream does not state that it did not run the request, so that neither may the node.
-        return Sent::Unknown("upstream_failed");
+    slot.end(outcome, RunFigures::default());
+    if implies_not_run(head.status) {
+        // To the caller, this status would say that the request did not run. The upstream did not state that.
+        return DispatchOutcome::Unknown("upstream_failed");
     }
-    let mut answer = Response::new(AnswerBody::Whole(body));
+    let mut answer = Response::new(AnswerBody::Buffered(body));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = end_to_end_headers(&head.headers);
-    Sent::Whole(answer)
+    DispatchOutcome::Buffered(answer)
 }
 
-fn promises_not_run(status: StatusCode) -> bool {
+/// Whether callers take a status to mean that the request did not run.
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -86,78 +88,82 @@
     )
 }
 
-/// An upstream's stream that is being passed on.
+/// An upstream's stream that is being relayed to the caller.
 pub(crate) struct Relay {
-    place: Place,
+    slot: Place,
     response: Response<Incoming>,
     connection: OpenConnection,
+    /// How long the upstream keeps the connection open once it is idle, if it said so.
     keep_alive: Option<Duration>,
 }
 
-/// The caller's side of a stream.
-struct CallerSide {
-    pieces: mpsc::Sender<Result<Bytes, AnswerCut>>,
+/// The caller's side of a stream, which may come from several upstreams in turn.
+struct CallerStream {
+    chunks: mpsc::Sender<Result<Bytes, AnswerCut>>,
+    /// The id of the last event passed on that has one.
     last_event_id: Option<String>,
-    /// From the request's arrival to its first event.
+    /// Time from the arrival of the request to the first event of the last upstream that sent any; none before that.
     first_event_after: Option<Duration>,
+    /// Longest pause between two events of the upstream that completed the stream; zero until then.
     longest_pause: Duration,
 }
 
-/// Why one upstream's part of a stream ended.
-enum PartEnd {
+/// Why relaying the stream of one upstream ended.
+enum RelayEnd {
     Complete,
     Broken,
-    CallerLeft,
-    TimeOver,
+    CallerDisconnected,
+    TimedOut,
 }
 
 impl Relay {
     pub(crate) fn new(
-        place: Place,
+        slot: Place,
         response: Response<Incoming>,
         connection: OpenConnection,
         keep_alive: Option<Duration>,
     ) -> Self {
         Self {
-            place,
+            slot,
             response,
             connection,
             keep_alive,
         }
     }
 
-    /// Starts to pass the stream on and returns the head of the answer.
+    /// Starts to relay the stream and returns the answer, whose body receives the events.
     pub(crate) fn start(self, job: Rc<Job>, attempts: Attempts) -> Response<AnswerBody> {
-        let (sender, pieces) = mpsc::channel(STREAM_PIECES);
-        let mut answer = Response::new(AnswerBody::Pieces(pieces));
+        let (sender, chunks) = mpsc::channel(STREAM_PIECES);
+        let mut answer = Response::new(AnswerBody::Streamed(chunks));
         *answer.status_mut() = self.response.status();
         *answer.headers_mut() = end_to_end_headers(self.response.headers());
-        let caller = CallerSide {
-            pieces: sender,
+        let caller = CallerStream {
+            chunks: sender,
             last_event_id: None,
             first_event_after: None,
             longest_pause: Duration::ZERO,
         };
-        spawn_local(pass_on(self, job, attempts, caller));
+        spawn_local(relay_stream(self, job, attempts, caller));
         answer
     }
 
-    /// Passes on what this upstream sends.
-    async fn pass_part(self, job: &Job, caller: &mut CallerSide) -> PartEnd {
+    /// Relays the events of this upstream until its stream ends or breaks off, the caller disconnects or the deadline
+    /// has passed.
+    async fn forward_events(self, job: &Job, caller: &mut CallerStream) -> RelayEnd {
         let mut body = self.response.into_body();
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         let mut figures = RunFigures::default();
         let mut last_event_at = Duration::ZERO;
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = caller.pieces.closed() => {
-                    self.place.end(RunOutcome::Cancelled, figures);
-                    return PartEnd::CallerLeft;
+                () = caller.chunks.closed() => {
+                    self.slot.end(RunOutcome::Cancelled, figures);
+                    return RelayEnd::CallerDisconnected;
                 }
                 () = sleep(job.time_left() + LATE_ANSWER_MARGIN) => {
-                    self.place.end(RunOutcome::Cancelled, figures);
-                    return PartEnd::TimeOver;
+                    self.slot.end(RunOutcome::Cancelled, figures);
+                    return RelayEnd::TimedOut;
                 }
             };
             match frame {
@@ -165,10 +171,10 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    cutter.push(&data);
-                    while let Some(event) = cutter.next_event() {
+                    splitter.push(&data);
+                    while let Some(event) = splitter.next_event() {
                         figures.events += 1;
-                        let elapsed = self.place.elapsed();
+                        let elapsed = self.slot.elapsed();
                         if figures.to_first_event.is_some() {
                             let pause = elapsed.saturating_sub(last_event_at);
                             figures.longest_pause = figures.longest_pause.max(pause);
@@ -181,60 +187,62 @@
                             metrics.observe("to_first_event_ms", name, elapsed);
                             caller.first_event_after = Some(job.arrived.elapsed());
                         }
-                        if caller.pass(event).await.is_err() {
-                            self.place.end(RunOutcome::Cancelled, figures);
-                            return PartEnd::CallerLeft;
+                        if caller.forward(event).await.is_err() {
+                            self.slot.end(RunOutcome::Cancelled, figures);
+                            return RelayEnd::CallerDisconnected;
                         }
                     }
                 }
                 Some(Err(error)) => {
-                    log::info!(request:% = job.facts.request_id, upstream:% = self.place.grant.upstream, events = figures.events, error:%; "a stream broke off");
-                    self.place.end(RunOutcome::Broken, figures);
-                    return PartEnd::Broken;
+                    log::info!(request:% = job.facts.request_id, upstream:% = self.slot.grant.upstream, events = figures.events, error:%; "a stream broke off");
+                    self.slot.end(RunOutcome::Broken, figures);
+                    return RelayEnd::Broken;
                 }
                 None => {
-                    let rest = cutter.rest();
-                    if !rest.bytes.is_empty() && caller.pass(rest).await.is_err() {
-                        self.place.end(RunOutcome::Cancelled, figures);
-                        return PartEnd::CallerLeft;
+                    let remainder = splitter.take_remainder();
+                    if !remainder.bytes.is_empty() && caller.forward(remainder).await.is_err() {
+                        self.slot.end(RunOutcome::Cancelled, figures);
+                        return RelayEnd::CallerDisconnected;
                     }
                     job.node.connections.keep(self.connection, self.keep_alive);
                     caller.longest_pause = caller.longest_pause.max(figures.longest_pause);
-                    self.place.end(RunOutcome::Completed, figures);
-                    return PartEnd::Complete;
+                    self.slot.end(RunOutcome::Completed, figures);
+                    return RelayEnd::Complete;
                 }
             }
         }
     }
 }
 
-impl CallerSide {
-    /// Passes an event on, unless the caller has it already.
-    async fn pass(&mut self, event: StreamEvent) -> Result<(), AnswerCut> {
+impl CallerStream {
+    /// Sends an event to the caller, unless the caller already received it from an earlier upstream.
+    async fn forward(&mut self, event: StreamEvent) -> Result<(), AnswerCut> {
         if let Some(id) = event.id {
-            if self.has(&id) {
+            if self.has_received(&id) {
                 return Ok(());
             }
             self.last_event_id = Some(id);
         }
-        self.pieces
+        self.chunks
             .send(Ok(event.bytes))
             .await
             .map_err(|_| AnswerCut)
     }
 
-    /// Whether the first event came in time, and no pause was too long.
+    /// Whether the first event met the objective and the longest pause was within the limit of the route.
     fn is_in_time(&self, job: &Job) -> bool {
         let RouteKind::Stream { longest_pause, .. } = job.route.kind else {
             return false;
         };
-        let is_first_in_time = self
+        let is_first_event_in_time = self
             .first_event_after
             .is_some_and(|after| after <= job.route.objective);
-        is_first_in_time && self.longest_pause <= longest_pause
+        is_first_event_in_time && self.longest_pause <= longest_pause
     }
 
-    fn has(&self, id: &str) -> bool {
+    /// Whether the caller has already received the event `id`. Numeric ids are taken to increase from event to event;
+    /// other ids are compared with that of the last event only.
+    fn has_received(&self, id: &str) -> bool {
         let last = self.last_event_id.as_deref();
         let number = |text: &str| text.parse::<u64>().ok();
         match (last.and_then(number), number(id)) {
@@ -244,39 +252,45 @@
     }
 }
 
-async fn pass_on(first: Relay, job: Rc<Job>, mut attempts: Attempts, mut caller: CallerSide) {
-    let mut part = first;
+/// Relays a stream from its first upstream and, if it is resumed, from further ones until it ends.
+async fn relay_stream(
+    first: Relay,
+    job: Rc<Job>,
+    mut attempts: Attempts,
+    mut caller: CallerStream,
+) {
+    let mut relay = first;
     loop {
-        let end = part.pass_part(&job, &mut caller).await;
+        let end = relay.forward_events(&job, &mut caller).await;
         match end {
-            PartEnd::Complete => {
+            RelayEnd::Complete => {
                 log_stream_end(&job, &attempts, &caller);
                 return;
             }
-            PartEnd::CallerLeft => {
+            RelayEnd::CallerDisconnected => {
                 job.count_end(CALLER_LEFT);
-                log::info!(request:% = job.facts.request_id; "caller left during its stream");
+                log::info!(request:% = job.facts.request_id; "caller disconnected during its stream");
                 return;
             }
-            PartEnd::TimeOver | PartEnd::Broken => {}
+            RelayEnd::TimedOut | RelayEnd::Broken => {}
         }
         let next = match end {
-            PartEnd::Broken => resume(&job, &mut attempts, &caller).await,
+            RelayEnd::Broken => resume(&job, &mut attempts, &caller).await,
             _ => None,
         };
         let Some(next) = next else {
-            log::warn!(request:% = job.facts.request_id, sent = attempts.sent; "a stream is cut");
+            log::warn!(request:% = job.facts.request_id, sent = attempts.sent; "stream can't be completed; closing the caller's connection");
             job.node.metrics.count("streams_cut_total", &job.route.name);
             job.count_end(FAILED);
-            // The caller may have left meanwhile, which comes to the same.
-            let _ = caller.pieces.send(Err(AnswerCut)).await;
+            // Sending fails only if the caller has disconnected meanwhile; its connection is closed either way.
+            let _ = caller.chunks.send(Err(AnswerCut)).await;
             return;
         };
-        part = next;
+        relay = next;
     }
 }
 
-fn log_stream_end(job: &Job, attempts: &Attempts, caller: &CallerSide) {
+fn log_stream_end(job: &Job, attempts: &Attempts, caller: &CallerStream) {
     let (metrics, route) = (&job.node.metrics, &job.route.name);
     metrics.observe("request_ms", route, job.arrived.elapsed());
     metrics.observe("longest_pause_ms", route, caller.longest_pause);
@@ -289,34 +303,34 @@
     log::info!(request:% = job.facts.request_id, route:% = job.route.name, status = 200, upstream:% = attempts.last_upstream(), sent = attempts.sent, queued_ms = ms(attempts.queued), first_event_ms = first_ms, longest_pause_ms = ms(caller.longest_pause), total_ms = ms(job.arrived.elapsed()); "stream ended");
 }
 
-/// Gets another upstream to go on after the last event that arrived.
-async fn resume(job: &Rc<Job>, attempts: &mut Attempts, caller: &CallerSide) -> Option<Relay> {
+/// Continues a stream that broke off at another upstream, after the last event that arrived.
+async fn resume(job: &Rc<Job>, attempts: &mut Attempts, caller: &CallerStream) -> Option<Relay> {
     let RouteKind::Stream {
         is_resumable: true, ..
     } = job.route.kind
     else {
         return None;
     };
-    while job.may_send_again(attempts) && !caller.pieces.is_closed() {
-        let place = tokio::select! {
-            place = attempts.place(job) => place.ok()?,
-            () = caller.pieces.closed() => return None,
+    while job.may_send_again(attempts) && !caller.chunks.is_closed() {
+        let slot = tokio::select! {
+            slot = attempts.request_slot(job) => slot.ok()?,
+            () = caller.chunks.closed() => return None,
         };
-        attempts.count_sent(&place.grant.upstream);
-        let after = caller
+        attempts.count_sent(&slot.grant.upstream);
+        let resume_after = caller
             .last_event_id
             .clone()
             .or_else(|| job.facts.last_event_id.clone());
-        let sending = job.clone().send_once(place, after);
-        let sent = tokio::select! {
-            sent = sending => sent,
-            () = caller.pieces.closed() => return None,
+        let sending = job.clone().send_once(slot, resume_after);
+        let outcome = tokio::select! {
+            outcome = sending => outcome,
+            () = caller.chunks.closed() => return None,
         };
-        if sent.is_unsent() {
-            attempts.take_back();
+        if outcome.is_unsent() {
+            attempts.uncount_sent();
         }
-        if let Sent::Streaming(relay) = sent {
-            log::info!(request:% = job.facts.request_id, sent = attempts.sent; "a stream goes on at another upstream");
+        if let DispatchOutcome::Streaming(relay) = outcome {
+            log::info!(request:% = job.facts.request_id, sent = attempts.sent; "stream continues at another upstream");
             return Some(*relay);
         }
     }
--- a/crates/dragonflystep_edge/src/server.rs
+++ b/crates/dragonflystep_edge/src/server.rs
@@ -1,4 +1,4 @@
-//! The doors of a node: listeners for callers, for the directory, for readiness and for metrics.
+//! The HTTP listeners of a node: for callers (ingress), readiness probes, the directory of node addresses, and metrics.
 
 use {
     crate::{
@@ -26,13 +26,13 @@
     },
 };
 
-/// Wait after the system refused a connection, for example because no file number was free.
+/// Wait after a connection could not be accepted, for example because no file descriptor was free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Buffer of a connection beyond the longest head, in bytes.
+/// Size of a connection's buffer beyond the longest permitted head, in bytes.
 const BUFFER_MARGIN_BYTES: usize = 4 << 10;
 
-/// What a listener is for.
+/// The purpose of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Door {
     Ingress,
@@ -41,9 +41,10 @@
     Metrics,
 }
 
-/// Accepts connections for as long as the node runs.
+/// Accepts and serves the connections of one listener for as long as the node runs. Connections beyond the configured
+/// number are closed at once.
 pub(crate) async fn serve_door(node: Rc<Node>, listener: TcpListener, door: Door) {
-    let open = Rc::new(Cell::new(0_usize));
+    let open_connections = Rc::new(Cell::new(0_usize));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -53,34 +54,37 @@
                 continue;
             }
         };
-        if open.get() >= node.settings.max_client_connections {
+        if open_connections.get() >= node.settings.max_client_connections {
             node.metrics.count("connections_refused_total", "too_many");
             continue;
         }
         if let Err(error) = configure_stream(&stream, KeepaliveLimits::default()) {
-            log::debug!(error:%; "a connection ended at once");
+            log::debug!(error:%; "could not configure a caller's connection; it is closed");
             continue;
         }
-        let (node, open) = (node.clone(), open.clone());
+        let (node, open_connections) = (node.clone(), open_connections.clone());
         spawn_local(async move {
-            open.set(open.get() + 1);
+            open_connections.set(open_connections.get() + 1);
             serve_connection(node, stream, door).await;
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
+/// The limits for callers' connections from the catalogue in force, or the defaults before there is one.
 fn client_limits(node: &Node) -> ClientLimits {
     let table = node.views.catalogue();
     table.map_or_else(ClientLimits::default, |table| table.catalogue().limits)
 }
 
+/// Serves one connection until it ends. A head that takes too long closes it at once; an idle timeout or the stop of
+/// the node closes it after the answer in progress.
 async fn serve_connection(node: Rc<Node>, stream: TcpStream, door: Door) {
     let times = ConnectionTimes::new();
     let io = CheckedConnection::new(stream, times.clone());
     let service = service_fn(|request| {
         let (node, times) = (node.clone(), times.clone());
-        async move { Ok::<_, Infallible>(answer(node, times, door, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(node, times, door, request).await) }
     });
     let buffer = client_limits(&node).max_header_bytes + BUFFER_MARGIN_BYTES;
     let connection = http1::Builder::new()
@@ -94,26 +98,27 @@
         connection.as_mut().graceful_shutdown();
     }
     loop {
-        let (deadline, is_head) = next_deadline(&node, &times);
+        let (deadline, is_head_timeout) = next_deadline(&node, &times);
         tokio::select! {
             result = connection.as_mut() => {
                 if let Err(error) = result {
-                    log::debug!(error:%; "a caller's connection ended");
+                    log::debug!(error:%; "a caller's connection ended with an error");
                 }
                 return;
             }
             () = sleep_until(deadline.into()) => {
-                let (now_due, _) = next_deadline(&node, &times);
-                if now_due > Instant::now() {
+                let (current_deadline, _) = next_deadline(&node, &times);
+                if current_deadline > Instant::now() {
                     continue;
                 }
-                if is_head {
+                if is_head_timeout {
                     node.metrics.count("connections_closed_total", "slow_head");
                     return;
                 }
                 is_closing = true;
                 connection.as_mut().graceful_shutdown();
-                // The library closes an idle connection when it is polled next.
+                // The HTTP library closes an idle connection when it is polled next. Restarting the idle timeout lets
+                // the loop poll it before another timeout.
                 times.active_at.set(Instant::now());
             }
             _ = closing.changed(), if !is_closing => {
@@ -124,33 +129,35 @@
     }
 }
 
-/// When the connection has to be looked at, and whether an incomplete head is the reason.
+/// When the connection times out, and whether it does so because of an incomplete head. While a request is served, the
+/// idle timeout begins anew at each call.
 fn next_deadline(node: &Node, times: &ConnectionTimes) -> (Instant, bool) {
     let limits = client_limits(node);
-    if let Some(began_at) = times.head_began_at.get() {
-        return (began_at + limits.header_timeout, true);
+    if let Some(started_at) = times.head_started_at.get() {
+        return (started_at + limits.header_timeout, true);
     }
-    let from = if times.is_serving.get() {
+    let idle_since = if times.is_serving.get() {
         Instant::now()
     } else {
         times.active_at.get()
     };
-    (from + limits.idle_timeout, false)
+    (idle_since + limits.idle_timeout, false)
 }
 
-async fn answer(
+/// Answers one request according to the purpose of the listener.
+async fn handle_request(
     node: Rc<Node>,
     times: Rc<ConnectionTimes>,
     door: Door,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     times.is_serving.set(true);
-    let _serving = Serving(times);
+    let _guard = ServingGuard(times);
     let mut response = match door {
         Door::Ingress => serve_request(&node, request).await,
-        Door::Readiness => readiness(&node, &request),
-        Door::Directory => directory(&node, &request),
-        Door::Metrics => text(StatusCode::OK, node.metrics.to_text(&node.gauges())),
+        Door::Readiness => readiness_response(&node, &request),
+        Door::Directory => directory_response(&node, &request),
+        Door::Metrics => text_response(StatusCode::OK, node.metrics.to_text(&node.gauges())),
     };
     if node.stop.is_stopping() {
         let close = HeaderValue::from_static("close");
@@ -159,31 +166,33 @@
     response
 }
 
-struct Serving(Rc<ConnectionTimes>);
+/// Marks the end of a request on its connection when dropped.
+struct ServingGuard(Rc<ConnectionTimes>);
 
-impl Drop for Serving {
+impl Drop for ServingGuard {
     fn drop(&mut self) {
         self.0.is_serving.set(false);
         self.0.active_at.set(Instant::now());
     }
 }
 
-fn readiness(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn readiness_response(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
     if !node.dialect.is_readiness(request.method(), request.uri()) {
-        return text(StatusCode::NOT_FOUND, String::new());
+        return text_response(StatusCode::NOT_FOUND, String::new());
     }
     if node.is_ready() {
-        return text(StatusCode::OK, "ready\n".to_owned());
+        return text_response(StatusCode::OK, "ready\n".to_owned());
     }
-    text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
+    text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
 }
 
-fn directory(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
+/// Answers a query for node addresses. A stopping node still answers, so that its callers learn of the other nodes.
+fn directory_response(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
     let Some(query) = node.dialect.read_directory(request.method(), request.uri()) else {
-        return text(StatusCode::NOT_FOUND, String::new());
+        return text_response(StatusCode::NOT_FOUND, String::new());
     };
     if !node.is_ready() && !node.stop.is_stopping() {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned());
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned());
     }
     let now = node.owner.now();
     let data_centre = query.data_centre.as_ref();
@@ -191,18 +200,18 @@
         .members
         .caller_addresses(now, data_centre, node.stop.is_stopping());
     if addresses.is_empty() {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "no node\n".to_owned());
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "no node\n".to_owned());
     }
     let lifetime = node.address_lifetime.get();
     let (content_type, body) = node.dialect.directory_answer(&addresses, lifetime);
-    let mut response = Response::new(AnswerBody::Whole(body));
+    let mut response = Response::new(AnswerBody::Buffered(body));
     let value = HeaderValue::from_static(content_type);
     response.headers_mut().insert(header::CONTENT_TYPE, value);
     response
 }
 
-fn text(status: StatusCode, text: String) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Whole(Bytes::from(text)));
+fn text_response(status: StatusCode, text: String) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::Buffered(Bytes::from(text)));
     *response.status_mut() = status;
     response
 }
--- a/crates/dragonflystep_edge/src/upstream_connections.rs
+++ b/crates/dragonflystep_edge/src/upstream_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept for the next request.
+//! Connections to upstreams. A connection whose answer was read whole is kept in a pool for the next request.
 
 use {
     crate::limits::{
@@ -22,18 +22,18 @@
     tokio::{net::TcpStream, task::spawn_local, time::timeout},
 };
 
-/// Why a request brought no answer.
+/// Why a request received no answer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SendError {
-    /// Nothing was sent.
-    #[error("no connection: {0}")]
+    /// No connection could be opened, or it closed before anything was sent.
+    #[error("the request was not sent: {0}")]
     NotSent(io::Error),
-    /// The request, or a part of it, was sent; it may run.
+    /// The connection broke after the request, or a part of it, was sent; it may run.
     #[error("connection broke: {0}")]
     Broken(hyper::Error),
 }
 
-/// A connection that carries a request.
+/// A connection in use by a request.
 pub(crate) struct OpenConnection {
     address: String,
     sender: SendRequest<Full<Bytes>>,
@@ -41,17 +41,18 @@
 
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
+    /// When the connection is no longer used, some time before the upstream closes it.
     usable_until: Instant,
 }
 
-/// Idle connections by address.
+/// The pool of idle connections, by address of the upstream.
 #[derive(Default)]
 pub(crate) struct UpstreamConnections {
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
 }
 
 impl UpstreamConnections {
-    /// Sends a request on a kept connection or a new one.
+    /// Sends a request on an idle connection or, if there is none that still works, on a new one.
     pub(crate) async fn send(
         &self,
         address: &str,
@@ -59,82 +60,90 @@
     ) -> Result<(Response<Incoming>, OpenConnection), SendError> {
         while let Some(sender) = self.take_idle(address) {
             match try_send(sender, request).await {
-                Ok((response, sender)) => return Ok((response, open(address, sender))),
-                Err(TrySend::Unsent(unsent)) => request = *unsent,
-                Err(TrySend::Broken(error)) => return Err(SendError::Broken(error)),
+                Ok((response, sender)) => return Ok((response, open_connection(address, sender))),
+                Err(TrySendError::Unsent(unsent)) => request = *unsent,
+                Err(TrySendError::Broken(error)) => return Err(SendError::Broken(error)),
             }
         }
         let sender = connect(address).await.map_err(SendError::NotSent)?;
         match try_send(sender, request).await {
-            Ok((response, sender)) => Ok((response, open(address, sender))),
-            Err(TrySend::Unsent(_)) => {
+            Ok((response, sender)) => Ok((response, open_connection(address, sender))),
+            Err(TrySendError::Unsent(_)) => {
                 Err(SendError::NotSent(io::ErrorKind::ConnectionReset.into()))
             }
-            Err(TrySend::Broken(error)) => Err(SendError::Broken(error)),
+            Err(TrySendError::Broken(error)) => Err(SendError::Broken(error)),
         }
     }
 
-    /// Keeps a connection whose answer was read whole, for as long as the upstream said.
+    /// Returns a connection to the pool after its answer was read whole. It stays usable for a part of the idle time
+    /// that the upstream permits, or of a default.
     pub(crate) fn keep(&self, connection: OpenConnection, keep_alive: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
         }
-        let told = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE);
+        let idle_time = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE);
         let mut idle = self.idle.borrow_mut();
-        let of_address = idle.entry(connection.address).or_default();
+        let connections = idle.entry(connection.address).or_default();
         let now = Instant::now();
-        of_address.retain(|one| one.usable_until > now && !one.sender.is_closed());
-        if of_address.len() < MOST_IDLE_CONNECTIONS {
-            of_address.push(IdleConnection {
+        connections
+            .retain(|connection| connection.usable_until > now && !connection.sender.is_closed());
+        if connections.len() < MOST_IDLE_CONNECTIONS {
+            connections.push(IdleConnection {
                 sender: connection.sender,
-                usable_until: now + told.mul_f64(KEPT_CONNECTION_SHARE),
+                usable_until: now + idle_time.mul_f64(KEPT_CONNECTION_SHARE),
             });
         }
     }
 
-    /// Closes idle connections that are too old, and all to addresses that are not in `addresses`.
+    /// Closes idle connections that have expired, and all to addresses for which `is_known` is false.
     pub(crate) fn retain(&self, is_known: impl Fn(&str) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|address, connections| {
-            connections.retain(|one| one.usable_until > now && !one.sender.is_closed());
+            connections.retain(|connection| {
+                connection.usable_until > now && !connection.sender.is_closed()
+            });
             !connections.is_empty() && is_known(address)
         });
     }
 
+    /// Takes a usable idle connection from the pool, the latest first.
     fn take_idle(&self, address: &str) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(address)?;
         let now = Instant::now();
-        while let Some(one) = connections.pop() {
-            if one.usable_until > now && one.sender.is_ready() {
-                return Some(one.sender);
+        while let Some(connection) = connections.pop() {
+            if connection.usable_until > now && connection.sender.is_ready() {
+                return Some(connection.sender);
             }
         }
         None
     }
 }
 
-fn open(address: &str, sender: SendRequest<Full<Bytes>>) -> OpenConnection {
+fn open_connection(address: &str, sender: SendRequest<Full<Bytes>>) -> OpenConnection {
     OpenConnection {
         address: address.to_owned(),
         sender,
     }
 }
 
-enum TrySend {
+/// Why a request could not be sent on a connection.
+enum TrySendError {
+    /// Nothing was sent; the request is returned for another connection.
     Unsent(Box<Request<Full<Bytes>>>),
+    /// The connection broke after the request, or a part of it, was sent.
     Broken(hyper::Error),
 }
 
 async fn try_send(
     mut sender: SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, SendRequest<Full<Bytes>>), TrySend> {
+) -> Result<(Response<Incoming>, SendRequest<Full<Bytes>>), TrySendError> {
     match sender.try_send_request(request).await {
         Ok(response) => Ok((response, sender)),
         Err(mut error) => Err(match error.take_message() {
-            Some(unsent) => TrySend::Unsent(Box::new(unsent)),
-            None => TrySend::Broken(error.into_error()),
+            Some(unsent) => TrySendError::Unsent(Box::new(unsent)),
+            None => TrySendError::Broken(error.into_error()),
         }),
     }
 }
@@ -151,7 +160,7 @@
         .map_err(io::Error::other)?;
     spawn_local(async move {
         if let Err(error) = connection.await {
-            log::debug!("a connection to an upstream ended: {error}");
+            log::debug!("a connection to an upstream ended with an error: {error}");
         }
     });
     Ok(sender)
