--- a/crates/dragonflystep_edge/src/answer.rs
+++ b/crates/dragonflystep_edge/src/answer.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Headers that concern only one connection, beside those that [`end_to_end_headers`] checks itself.
+/// Headers that concern only one connection, in addition to those that [`end_to_end_headers`] checks itself.
 const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Counts what was already tried for a request.
+//! Tracks what was already tried for a request.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     pub(crate) has_run: bool,
     /// Total time spent waiting for slots.
     pub(crate) queued: Duration,
-    /// The upstreams of all granted slots in order, also where nothing could be sent.
+    /// The upstreams of all granted slots in order, including those to which nothing was sent.
     tried: Vec<UpstreamId>,
 }
 
--- a/crates/dragonflystep_edge/src/dialect.rs
+++ b/crates/dragonflystep_edge/src/dialect.rs
@@ -29,7 +29,7 @@
     pub last_event_id: Option<String>,
 }
 
-/// What a node tells an upstream about a request, beside the caller's own headers.
+/// What a node tells an upstream about a request, in addition to the caller's own headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamFacts<'a> {
     /// Time until the deadline of the request.
@@ -61,13 +61,11 @@
     pub request_id: String,
     /// Whether the upstream states that it did not run the request.
     pub is_not_run: bool,
-    /// Whether the request did not run because its address now belongs to another upstream than the one it was meant
-    /// for.
+    /// Whether the request did not run because the address it was sent to now belongs to another upstream.
     pub is_misdirected: bool,
     /// Whether the status of the answer is a success.
     pub is_success: bool,
-    /// Whether the answer is marked as one of the upstream's own software. A successful answer without the mark is not
-    /// passed on.
+    /// Whether the answer is marked as the upstream's own. A successful answer without the mark is not passed on.
     pub is_signed: bool,
     /// Numbers of requests that run and that wait at the upstream; none if the answer does not state them.
     pub load: Option<(u32, u32)>,
@@ -119,8 +117,8 @@
         upstream: &UpstreamId,
     ) -> bool;
 
-    /// Adds the request id and the time after which to retry to the headers of a reply that the node generates itself.
-    /// `request_id` is empty if it is not known.
+    /// Completes the headers of a reply that the node generates itself with the request id and the time after which the
+    /// caller may retry. `request_id` is empty if it is not known; without `retry_after`, no time is stated.
     fn own_answer(&self, headers: &mut HeaderMap, request_id: &str, retry_after: Option<Duration>);
 
     /// Whether a request is a readiness probe.
--- a/crates/dragonflystep_edge/src/entry_runs.rs
+++ b/crates/dragonflystep_edge/src/entry_runs.rs
@@ -1,5 +1,5 @@
-//! The active runs and the account usage of this node as an entry, the node that receives callers' requests. When the
-//! owner changes, the new owner is given both, so that it counts them.
+//! The active runs and the account usage of this node as an entry node, which is the node that receives a caller's
+//! request. When the owner changes, both are reported to the new owner so that it can count them.
 
 use {
     dragonflystep_dispatch::{
--- a/crates/dragonflystep_edge/src/event_stream.rs
+++ b/crates/dragonflystep_edge/src/event_stream.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is buffered as a whole, in bytes; a longer one is passed on in several chunks without an id.
+/// Longest event that is buffered as a whole, in bytes; a longer one is passed on in several chunks.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// A whole event, or a chunk of one that is too long or incomplete.
@@ -10,7 +10,7 @@
 pub(crate) struct StreamEvent {
     /// The raw bytes, with the empty line that ends an event.
     pub(crate) bytes: Bytes,
-    /// The value of the first `id:` line; none without one, and for a chunk.
+    /// The value of the first `id:` line; none without one, and for a chunk without the end of its event.
     pub(crate) id: Option<String>,
 }
 
--- a/crates/dragonflystep_edge/src/head_check.rs
+++ b/crates/dragonflystep_edge/src/head_check.rs
@@ -98,8 +98,8 @@
         Ok(())
     }
 
-    /// Skips up to `remaining` bytes of a body or chunk: the state becomes `after` once all of them have arrived, else
-    /// `during` of the rest. Returns the bytes that follow.
+    /// Skips up to `remaining` bytes of a body or chunk and returns the bytes that follow. The next state is `after` if
+    /// all of them have arrived, and otherwise `during` with the number of bytes still to come.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
--- a/crates/dragonflystep_edge/src/job.rs
+++ b/crates/dragonflystep_edge/src/job.rs
@@ -2,7 +2,7 @@
 //! interprets the answer and retries where that is allowed.
 //!
 //! A request that must not run twice is sent to another upstream only when nothing was sent to the first one, or when
-//! the first one states that it did not run the request. The node replies "not run" itself only when it is certain
+//! the first one states that it did not run the request. The node itself replies "not run" only when it is certain
 //! that the request did not run.
 
 use {
@@ -192,8 +192,8 @@
         outcome
     }
 
-    /// Sends the request once. `resume_after` names the last event received of an interrupted stream that is to be
-    /// continued.
+    /// Sends the request once. To continue an interrupted stream, `resume_after` names the last event that was
+    /// received.
     pub(crate) async fn send_once(
         self: Rc<Self>,
         slot: Place,
--- a/crates/dragonflystep_edge/src/logs.rs
+++ b/crates/dragonflystep_edge/src/logs.rs
@@ -82,7 +82,7 @@
     Ok(buffer)
 }
 
-/// The log can't be started.
+/// Why the log can't be started.
 #[derive(Debug, thiserror::Error)]
 #[error("can't start the log: {0}")]
 pub struct LogError(String);
--- a/crates/dragonflystep_edge/src/owner.rs
+++ b/crates/dragonflystep_edge/src/owner.rs
@@ -35,7 +35,7 @@
     visibility: Cell<Visibility>,
     /// How many of the nodes this one has heard from recently.
     recent_contacts: Cell<Visibility>,
-    /// Wakes the clock when a slot request has to wait.
+    /// Wakes the loop that ticks the dispatcher when a slot request has to wait.
     request_queued: Notify,
     rollouts: Rc<Rollouts>,
 }
@@ -163,7 +163,7 @@
         }))
     }
 
-    /// Applies the end of a run. A slot request that still waits is withdrawn.
+    /// Applies the end of a run. If its slot request still waits for a decision, the slot request is withdrawn.
     pub(crate) fn ended(&self, report: RunReport) {
         if self.pending.borrow_mut().remove(&report.run).is_some() {
             self.apply(Event::RequestWithdrawn(report.service.clone(), report.run));
--- a/crates/dragonflystep_edge/src/placing.rs
+++ b/crates/dragonflystep_edge/src/placing.rs
@@ -1,5 +1,5 @@
-//! Slots as the entry node sees them, the node that received the caller's request: it finds the owner of the services,
-//! requests a slot from it, and reports to it how the run ended.
+//! The entry node's handling of slots. The entry node is the node that received the caller's request. It finds the
+//! owner of the services, requests a slot from it, and reports to it how the run ended.
 
 use {
     crate::{
@@ -86,7 +86,7 @@
         !must_back_off && !node.owner.is_leaving(upstream)
     }
 
-    /// Returns the slot unused and sends the owner the notices that are the reason.
+    /// Returns the slot unused and sends the owner the notices by which the upstream accepts no requests.
     pub(crate) fn return_unused(self) {
         self.share_notices(self.node.owner.notices());
         self.end(RunOutcome::Withheld, RunFigures::default());
--- a/crates/dragonflystep_edge/src/relay.rs
+++ b/crates/dragonflystep_edge/src/relay.rs
@@ -100,9 +100,10 @@
 /// The caller's side of a stream, which may come from several upstreams in turn.
 struct CallerStream {
     chunks: mpsc::Sender<Result<Bytes, AnswerCut>>,
-    /// The id of the last event passed on that has one.
+    /// The id of the last event with an id that was sent to the caller.
     last_event_id: Option<String>,
-    /// Time from the arrival of the request to the first event of the last upstream that sent any; none before that.
+    /// Time from the arrival of the request to the first event of an upstream. Each further upstream that sends an
+    /// event replaces it.
     first_event_after: Option<Duration>,
     /// Longest pause between two events of the upstream that completed the stream; zero until then.
     longest_pause: Duration,
--- a/crates/dragonflystep_edge/src/request.rs
+++ b/crates/dragonflystep_edge/src/request.rs
@@ -20,7 +20,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Handles one request of a caller. If it fails before it can be dispatched, the node replies itself.
+/// Handles one request of a caller. A request that can't be dispatched is answered by a reply of the node itself.
 pub(crate) async fn serve_request(
     node: &Rc<Node>,
     request: Request<Incoming>,
--- a/crates/dragonflystep_edge/src/server.rs
+++ b/crates/dragonflystep_edge/src/server.rs
@@ -186,7 +186,7 @@
     text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
 }
 
-/// Answers a query for node addresses. A stopping node still answers, so that its callers learn of the other nodes.
+/// Answers a query for node addresses. A stopping node still answers, with the addresses of other nodes only.
 fn directory_response(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
     let Some(query) = node.dialect.read_directory(request.method(), request.uri()) else {
         return text_response(StatusCode::NOT_FOUND, String::new());
