--- a/crates/dragonflystep_peer/schema/peer.capnp
+++ b/crates/dragonflystep_peer/schema/peer.capnp
@@ -1,9 +1,9 @@
-# Calls between nodes.
+# Calls between nodes: requests for slots, reports of ended runs, and the gossip exchange of digests.
 @0xc51be1c1a1a6b1f7;
 
 struct Part { id @0 :UInt64; tokens @1 :UInt32; }
 
-# A request for a place at an upstream. Durations are in microseconds.
+# Requests a slot at an upstream. Durations are in microseconds.
 struct Ask {
   run @0 :UInt64;
   service @1 :Text;
@@ -14,7 +14,7 @@
   tier @5 :UInt16;
   objectiveLeftUs @6 :UInt64;
   timeLeftUs @7 :UInt64;
-  # 0 for a plain call.
+  # Longest pause between two events; 0 for a plain call.
   longestPauseUs @8 :UInt64;
   promptTokens @9 :UInt32;
   outputTokens @10 :UInt32;
@@ -51,53 +51,55 @@
 
 struct RunningRun { ask @0 :Ask; upstream @1 :Text; runningForUs @2 :UInt64; }
 
-# What an upstream said of its load.
+# Load that an upstream reported.
 struct UpstreamLoad { service @0 :Text; upstream @1 :Text; running @2 :UInt32; waiting @3 :UInt32; }
 
-# What an upstream said of itself, `ageUs` ago.
+# Notice that an upstream gave about itself `ageUs` ago.
 struct UpstreamNotice {
   service @0 :Text;
   upstream @1 :Text;
   ageUs @2 :UInt64;
   union {
-    # Requests a second that it takes from all nodes together.
+    # Requests per second that it accepts from all nodes together.
     requestsPerS @3 :Float64;
     rateUnlimited @4 :Void;
     leaving @5 :Void;
-    # It wants no requests of the node that it refused for `lastsUs` from then on.
+    # It refused a request of `node`, and asked that node to send no further ones for `lastsUs` from then on.
     resting :group { node @6 :UInt32; lastsUs @7 :UInt64; }
   }
 }
 
-# What an account spent within a short time that ended `ageUs` ago.
+# Quota units that an account spent within a short time slice that ended `ageUs` ago.
 struct SpentSlice { ageUs @0 :UInt64; units @1 :Float64; unitsGrantedByReceiver @2 :Float64; }
 
 struct AccountSpending { account @0 :Text; slices @1 :List(SpentSlice); }
 
-# What accounts spent through an entry within the last window.
+# What accounts spent through the reporting node within the last quota window, of which the report covers `coversUs`.
 struct SpendingReport { node @0 :Text; coversUs @1 :UInt64; accounts @2 :List(AccountSpending); }
 
-# What a node knows, with versions; changes of lists are sent only to a peer whose version is older, and only if they are few.
+# Summary of a node's state with the versions of its lists. Changes of a list are included only if the receiver's
+# version is older and the changes are few.
 struct Digest {
   node @0 :Text;
   catalogueVersion @1 :UInt64;
-  # Earlier versions passed the catalogue's document here.
+  # Not used: older nodes send the catalogue document in this field.
   unusedCatalogue @2 :Data;
   registryVersion @3 :UInt64;
   registry @4 :Data;
   membersVersion @5 :UInt64;
   members @6 :Data;
-  # Nodes that take no requests: they do not answer, or are about to stop.
+  # Nodes that take no requests, because they do not answer the sender or are about to stop.
   unavailable @7 :List(Text);
   isLeaving @8 :Bool;
-  # Time since the platform answered this node, or one of which it heard.
+  # Time since the platform last answered this node, or another node that reported this to it.
   platformHeardUs @9 :UInt64;
-  # Roll-outs that the node knows of; empty when there are none.
+  # Encoded roll-outs that the node knows of; empty when there are none.
   rollouts @10 :Data;
-  # What upstreams said of themselves; only in answers, whose age the calling node can bound.
+  # Notices that upstreams gave about themselves; sent only in answers, since only there can the calling node bound
+  # their age.
   notices @11 :List(UpstreamNotice);
-  # Time for which the platform has been answering this node, or one of which it heard, without a longer gap.
-  # In milliseconds, which takes no more room in a message.
+  # Time for which the platform has been answering without a longer gap, counting answers to this node and answers
+  # that other nodes reported to it. In milliseconds, so that it fits in 32 bits and does not enlarge the message.
   platformUpMs @12 :UInt32;
 }
 
@@ -108,16 +110,19 @@
   exchange @3 (digest :Digest) -> (digest :Digest);
   loadObserved @4 (load :UpstreamLoad) -> ();
   spent @5 (report :SpendingReport) -> ();
-  # A piece of what a node lacks that has the given version of a list; 0 asks for all of it.
+  # Returns one piece of the changes that a node with the given version of a list lacks; version 0 requests the whole
+  # list.
   listSince @6 (piece :ListPieceAsk) -> (piece :ListPiece);
   noticed @7 (notices :List(UpstreamNotice)) -> ();
 }
 
-# The lists that nodes pass on to one another.
+# Versioned lists that nodes replicate to one another.
 enum ListName { catalogue @0; registry @1; members @2; }
 
-# Asks for bytes from an offset on. `leadsTo` is the version to which the pieces so far lead, 0 at first.
+# Requests bytes from an offset on. `leadsTo` is the target version of the pieces fetched so far, and 0 for the first
+# piece.
 struct ListPieceAsk { version @0 :UInt64; leadsTo @1 :UInt64; offset @2 :UInt32; list @3 :ListName; }
 
-# Bytes of changes that have `totalBytes` in all; none at all when the asking node lacks nothing.
+# One piece of encoded changes whose total size is `totalBytes`; empty if the requesting node is up to date, or the
+# answering node cannot provide the changes.
 struct ListPiece { leadsTo @0 :UInt64; totalBytes @1 :UInt32; bytes @2 :Data; }
--- a/crates/dragonflystep_peer/src/codec.rs
+++ b/crates/dragonflystep_peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the schema's structures.
+//! Encodes the messages between nodes into the structures of the schema, and decodes them.
 
 use {
     crate::{
@@ -17,38 +17,38 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Writes a request for a place.
-pub(crate) fn encode_slot_request(ask: &SlotRequest, mut out: ask::Builder<'_>) {
-    out.set_run(ask.run);
-    out.set_service(&*ask.service);
-    out.set_route(&*ask.route);
-    out.set_account(ask.account.as_deref().unwrap_or(""));
-    out.set_quota_units(ask.quota_units);
-    out.set_tier(ask.tier);
-    out.set_objective_left_us(to_us(ask.objective_left));
-    out.set_time_left_us(to_us(ask.time_left));
-    out.set_longest_pause_us(ask.longest_pause.map_or(0, to_us));
-    out.set_prompt_tokens(ask.size.prompt_tokens);
-    out.set_output_tokens(ask.size.output_tokens);
-    let mut segments = out.reborrow().init_parts(ask.size.segments.len() as u32);
-    for (index, part) in ask.size.segments.iter().enumerate() {
-        let mut slot = segments.reborrow().get(index as u32);
-        slot.set_id(part.id);
-        slot.set_tokens(part.tokens);
+pub(crate) fn encode_slot_request(request: &SlotRequest, mut out: ask::Builder<'_>) {
+    out.set_run(request.run);
+    out.set_service(&*request.service);
+    out.set_route(&*request.route);
+    out.set_account(request.account.as_deref().unwrap_or(""));
+    out.set_quota_units(request.quota_units);
+    out.set_tier(request.tier);
+    out.set_objective_left_us(to_us(request.objective_left));
+    out.set_time_left_us(to_us(request.time_left));
+    out.set_longest_pause_us(request.longest_pause.map_or(0, to_us));
+    out.set_prompt_tokens(request.size.prompt_tokens);
+    out.set_output_tokens(request.size.output_tokens);
+    let mut segments = out
+        .reborrow()
+        .init_parts(request.size.segments.len() as u32);
+    for (index, segment) in request.size.segments.iter().enumerate() {
+        let mut entry = segments.reborrow().get(index as u32);
+        entry.set_id(segment.id);
+        entry.set_tokens(segment.tokens);
     }
-    out.set_attempt(ask.attempt);
-    let mut avoid = out.reborrow().init_avoid(ask.avoid.len() as u32);
-    for (index, upstream) in ask.avoid.iter().enumerate() {
+    out.set_attempt(request.attempt);
+    let mut avoid = out.reborrow().init_avoid(request.avoid.len() as u32);
+    for (index, upstream) in request.avoid.iter().enumerate() {
         avoid.set(index as u32, &**upstream);
     }
-    out.set_fingerprint(ask.fingerprint);
-    out.set_data_centre(&*ask.data_centre);
+    out.set_fingerprint(request.fingerprint);
+    out.set_data_centre(&*request.data_centre);
 }
 
-/// Reads a request for a place.
 pub(crate) fn decode_slot_request(input: ask::Reader<'_>) -> Result<SlotRequest, PeerError> {
     let account = input.get_account()?.to_str()?;
-    let pause_us = input.get_longest_pause_us();
+    let longest_pause_us = input.get_longest_pause_us();
     let segments = input.get_parts()?.iter().map(|part| PromptSegment {
         id: part.get_id(),
         tokens: part.get_tokens(),
@@ -62,20 +62,20 @@
         tier: input.get_tier(),
         objective_left: Duration::from_micros(input.get_objective_left_us()),
         time_left: Duration::from_micros(input.get_time_left_us()),
-        longest_pause: (pause_us > 0).then(|| Duration::from_micros(pause_us)),
+        longest_pause: (longest_pause_us > 0).then(|| Duration::from_micros(longest_pause_us)),
         size: WorkSize {
             prompt_tokens: input.get_prompt_tokens(),
             output_tokens: input.get_output_tokens(),
             segments: segments.collect(),
         },
         attempt: input.get_attempt(),
-        avoid: decode_texts(input.get_avoid()?)?,
+        avoid: decode_text_list(input.get_avoid()?)?,
         fingerprint: input.get_fingerprint(),
         data_centre: input.get_data_centre()?.to_str()?.into(),
     })
 }
 
-fn decode_texts(list: capnp::text_list::Reader<'_>) -> Result<Vec<Arc<str>>, PeerError> {
+fn decode_text_list(list: capnp::text_list::Reader<'_>) -> Result<Vec<Arc<str>>, PeerError> {
     let mut texts = Vec::new();
     for text in list.iter() {
         texts.push(text?.to_str()?.into());
@@ -83,9 +83,8 @@
     Ok(texts)
 }
 
-/// Writes a verdict.
-pub(crate) fn encode_slot_decision(verdict: &SlotDecision, out: verdict::Builder<'_>) {
-    match verdict {
+pub(crate) fn encode_slot_decision(decision: &SlotDecision, out: verdict::Builder<'_>) {
+    match decision {
         SlotDecision::Granted(grant) => {
             let mut granted = out.init_granted();
             granted.set_upstream(&*grant.upstream);
@@ -99,7 +98,6 @@
     }
 }
 
-/// Reads a verdict.
 pub(crate) fn decode_slot_decision(input: verdict::Reader<'_>) -> Result<SlotDecision, PeerError> {
     Ok(match input.which()? {
         verdict::Which::Granted(granted) => SlotDecision::Granted(Grant {
@@ -133,18 +131,16 @@
     }
 }
 
-/// Writes the end of a run.
-pub(crate) fn encode_run_report(ended: &RunReport, mut out: ended::Builder<'_>) {
-    out.set_run(ended.run);
-    out.set_service(&*ended.service);
-    out.set_outcome(encode_outcome(ended.outcome));
-    out.set_has_first_event(ended.to_first_event.is_some());
-    out.set_to_first_event_us(ended.to_first_event.map_or(0, to_us));
-    out.set_to_end_us(to_us(ended.to_end));
-    out.set_events(ended.events);
+pub(crate) fn encode_run_report(report: &RunReport, mut out: ended::Builder<'_>) {
+    out.set_run(report.run);
+    out.set_service(&*report.service);
+    out.set_outcome(encode_outcome(report.outcome));
+    out.set_has_first_event(report.to_first_event.is_some());
+    out.set_to_first_event_us(report.to_first_event.map_or(0, to_us));
+    out.set_to_end_us(to_us(report.to_end));
+    out.set_events(report.events);
 }
 
-/// Reads the end of a run.
 pub(crate) fn decode_run_report(input: ended::Reader<'_>) -> Result<RunReport, PeerError> {
     let to_first_event = Duration::from_micros(input.get_to_first_event_us());
     Ok(RunReport {
@@ -183,10 +179,10 @@
     }
 }
 
-pub(crate) fn encode_active_run(running: &ActiveRun, mut out: running_run::Builder<'_>) {
-    encode_slot_request(&running.request, out.reborrow().init_ask());
-    out.set_upstream(&*running.upstream);
-    out.set_running_for_us(to_us(running.running_for));
+pub(crate) fn encode_active_run(run: &ActiveRun, mut out: running_run::Builder<'_>) {
+    encode_slot_request(&run.request, out.reborrow().init_ask());
+    out.set_upstream(&*run.upstream);
+    out.set_running_for_us(to_us(run.running_for));
 }
 
 pub(crate) fn decode_active_run(input: running_run::Reader<'_>) -> Result<ActiveRun, PeerError> {
@@ -213,28 +209,26 @@
     })
 }
 
-/// Writes what accounts spent through an entry.
 pub(crate) fn encode_usage(report: &UsageReport, mut out: spending_report::Builder<'_>) {
     out.set_node(&*report.node);
     out.set_covers_us(to_us(report.covers));
     let mut accounts = out.init_accounts(report.accounts.len() as u32);
-    for (index, spending) in report.accounts.iter().enumerate() {
-        encode_account(spending, accounts.reborrow().get(index as u32));
+    for (index, usage) in report.accounts.iter().enumerate() {
+        encode_account(usage, accounts.reborrow().get(index as u32));
     }
 }
 
-fn encode_account(spending: &AccountUsage, mut out: account_spending::Builder<'_>) {
-    out.set_account(&*spending.account);
-    let mut slices = out.init_slices(spending.slices.len() as u32);
-    for (index, slice) in spending.slices.iter().enumerate() {
-        let mut slot = slices.reborrow().get(index as u32);
-        slot.set_age_us(to_us(slice.age));
-        slot.set_units(slice.units);
-        slot.set_units_granted_by_receiver(slice.units_granted_by_receiver);
+fn encode_account(usage: &AccountUsage, mut out: account_spending::Builder<'_>) {
+    out.set_account(&*usage.account);
+    let mut slices = out.init_slices(usage.slices.len() as u32);
+    for (index, slice) in usage.slices.iter().enumerate() {
+        let mut entry = slices.reborrow().get(index as u32);
+        entry.set_age_us(to_us(slice.age));
+        entry.set_units(slice.units);
+        entry.set_units_granted_by_receiver(slice.units_granted_by_receiver);
     }
 }
 
-/// Reads what accounts spent through an entry.
 pub(crate) fn decode_usage(input: spending_report::Reader<'_>) -> Result<UsageReport, PeerError> {
     let accounts = input.get_accounts()?.iter().map(decode_account);
     Ok(UsageReport {
@@ -257,17 +251,17 @@
 }
 
 pub(crate) fn encode_list_piece_request(
-    ask: ListPieceRequest,
+    request: ListPieceRequest,
     mut out: list_piece_ask::Builder<'_>,
 ) {
-    out.set_list(match ask.list {
+    out.set_list(match request.list {
         ListName::Catalogue => peer_capnp::ListName::Catalogue,
         ListName::Registry => peer_capnp::ListName::Registry,
         ListName::Members => peer_capnp::ListName::Members,
     });
-    out.set_version(ask.version);
-    out.set_leads_to(ask.target_version);
-    out.set_offset(ask.offset_bytes);
+    out.set_version(request.version);
+    out.set_leads_to(request.target_version);
+    out.set_offset(request.offset_bytes);
 }
 
 pub(crate) fn decode_list_piece_request(
@@ -326,7 +320,7 @@
         catalogue_version: input.get_catalogue_version(),
         registry_version: input.get_registry_version(),
         registry: input.get_registry()?.to_vec(),
-        unavailable: decode_texts(input.get_unavailable()?)?,
+        unavailable: decode_text_list(input.get_unavailable()?)?,
         is_leaving: input.get_is_leaving(),
         platform_silence: Duration::from_micros(input.get_platform_heard_us()),
         platform_up_for: Duration::from_millis(input.get_platform_up_ms().into()),
--- a/crates/dragonflystep_peer/src/error.rs
+++ b/crates/dragonflystep_peer/src/error.rs
@@ -1,31 +1,31 @@
-//! What goes wrong between nodes.
+//! Errors of calls between nodes.
 
 use std::{io, time::Duration};
 
 /// Why a call to another node failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// No connection could be opened.
+    /// No connection to the node could be opened.
     #[error("can't connect to {address}: {source}")]
     Connect {
-        /// The node's address.
+        /// Address of the node that was called, as IP:PORT.
         address: String,
-        /// What the system said.
+        /// Error that the operating system reported.
         source: io::Error,
     },
-    /// The node did not answer in time.
+    /// The node did not answer within this time limit.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
-    /// The connection broke, or the node refused the call.
+    /// The connection broke, or the node answered the call with an error.
     #[error("call failed: {0}")]
     Call(#[from] capnp::Error),
-    /// A message did not make sense.
+    /// A message could not be decoded; the text names the cause.
     #[error("message not understood: {0}")]
     Decode(String),
 }
 
 impl PeerError {
-    /// Whether the other machine said that nothing listens at the address.
+    /// Whether the connection was refused, which means that nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { source, .. } if source.kind() == io::ErrorKind::ConnectionRefused)
     }
--- a/crates/dragonflystep_peer/src/lib.rs
+++ b/crates/dragonflystep_peer/src/lib.rs
@@ -1,8 +1,10 @@
-//! Calls between nodes over capnp-rpc: places at upstreams, ends of runs, and the exchange of views.
+//! Calls between nodes over capnp-rpc: requests for slots at upstreams, reports of ended runs, and the
+//! gossip exchange of digests.
 //!
 //! A node serves a [`PeerHandler`] to each node that connects ([`serve_peer`]) and keeps one [`PeerLink`]
-//! to each node that it calls. A call that waits for a place is one call whose answer comes when the
-//! place is free; giving up the call withdraws the request. The schema is in `schema/peer.capnp`.
+//! to each node that it calls. A request for a slot is a single call that is answered once the owner has
+//! granted or refused the slot; dropping the call withdraws the request. The schema is in
+//! `schema/peer.capnp`.
 
 mod codec;
 mod error;
@@ -28,77 +30,81 @@
     std::time::Duration,
 };
 
-/// A list that nodes pass on to one another.
+/// A versioned list that nodes replicate to one another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ListName {
     /// Routes, services and accounts.
     #[default]
     Catalogue,
-    /// The upstreams.
+    /// The known upstreams.
     Registry,
-    /// The nodes.
+    /// The known nodes.
     Members,
 }
 
-/// Asks for a piece of what a node is missing of a list.
+/// Request for one piece of the changes that a node lacks of a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListPieceRequest {
-    /// The list.
+    /// List that the changes belong to.
     pub list: ListName,
-    /// Version that the asking node has; 0 asks for the whole list.
+    /// Version that the requesting node has; 0 requests the whole list.
     pub version: u64,
-    /// Version to which the pieces so far lead; 0 for the first one.
+    /// Target version of the pieces fetched so far; 0 when requesting the first piece.
     pub target_version: u64,
-    /// Bytes that the asking node has already.
+    /// Number of bytes that the requesting node already has, which is where the next piece starts.
     pub offset_bytes: u32,
 }
 
-/// A piece of what a node is missing of a list, in the nodes' own form.
+/// One piece of the changes that a node lacks of a list, in the encoding that nodes use among themselves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPiece {
-    /// Version to which all pieces lead; another one than that asked for means that the pieces start anew.
+    /// Version of the list once all pieces are applied. If it differs from the requested target version, this is
+    /// the first piece of a new set, and the pieces fetched before are to be discarded.
     pub target_version: u64,
-    /// Bytes of all pieces; 0 when the asking node is up to date.
+    /// Size of all pieces together; 0 when the requesting node is up to date, or the answering node cannot
+    /// provide the changes.
     pub total_bytes: u32,
-    /// The piece.
+    /// Bytes of this piece.
     pub bytes: Vec<u8>,
 }
 
-/// What a node tells another one of its view.
+/// Summary of a node's state, which nodes exchange by gossip.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Digest {
-    /// The node that tells.
+    /// Node that sends the digest.
     pub node: NodeName,
-    /// Version of the catalogue that it follows; 0 is none, or asks for the whole catalogue.
+    /// Version of the sender's catalogue; 0 if it has none or requests the whole catalogue.
     pub catalogue_version: u64,
-    /// Version of the registry that it follows; 0 is none, or asks for the whole registry.
+    /// Version of the sender's registry; 0 if it has none or requests the whole registry.
     pub registry_version: u64,
-    /// Changes of the registry, where the other node's is older and they are few.
+    /// Encoded changes of the registry; sent only if the receiver's version is older and the changes are few.
     pub registry: Vec<u8>,
-    /// Version of the list of nodes that it follows; 0 is none, or asks for the whole list.
+    /// Version of the sender's list of nodes; 0 if it has none or requests the whole list.
     pub members_version: u64,
-    /// Changes of the list of nodes, where the other node's is older and they are few.
+    /// Encoded changes of the list of nodes; sent only if the receiver's version is older and the changes are few.
     pub members: Vec<u8>,
-    /// Nodes that take no requests: they do not answer it, or are about to stop.
+    /// Nodes that take no requests, because they do not answer the sender or are about to stop.
     pub unavailable: Vec<NodeName>,
-    /// Whether it is about to stop.
+    /// Whether the sender is about to stop.
     pub is_leaving: bool,
-    /// Time since the platform answered it, or a node that told it so.
+    /// Time since the platform last answered the sender, or another node that reported this to the sender.
     pub platform_silence: Duration,
-    /// Time for which the platform has been answering somebody without a longer gap, as far as the node heard.
+    /// Time for which the platform has been answering without a longer gap, counting answers to the sender and
+    /// answers that other nodes reported to it.
     pub platform_up_for: Duration,
-    /// Roll-outs that it knows of; empty when there are none.
+    /// Encoded roll-outs that the sender knows of; empty when there are none.
     pub rollouts: Vec<u8>,
-    /// What upstreams said of themselves; only in answers.
+    /// Notices that upstreams gave about themselves; sent only in answers, since only there can the calling node
+    /// bound their age.
     pub notices: Vec<UpstreamNotice>,
 }
 
-/// Durations cross the wire as whole microseconds.
+/// Converts a duration to the whole microseconds that messages carry.
 fn to_us(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The clock of a link: time since it was made.
-fn since(start: tokio::time::Instant) -> MonotonicTime {
+/// Time since `start`, by which a link measures its own times.
+fn elapsed_since(start: tokio::time::Instant) -> MonotonicTime {
     start.elapsed()
 }
--- a/crates/dragonflystep_peer/src/link.rs
+++ b/crates/dragonflystep_peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The side that calls: one link to each node that is called.
+//! Client side of the calls between nodes: one link for each node that is called.
 
 use {
     crate::{
@@ -8,10 +8,10 @@
             encode_digest, encode_list_piece_request, encode_load, encode_run_report,
             encode_slot_request, encode_usage,
         },
+        elapsed_since,
         notice_codec::encode_notices,
         peer_capnp::peer,
-        server::network,
-        since,
+        server::vat_network,
     },
     capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side},
     dragonflystep_dispatch::{
@@ -31,15 +31,17 @@
     },
 };
 
-/// A link to one node: a connection while there is one, opened when it is needed.
+/// A link to one node, which opens its connection on demand and reopens it after a failure.
 pub struct PeerLink {
     address: String,
     network: Rc<dyn PeerNetwork>,
     start: Instant,
     connection: RefCell<Option<Connection>>,
-    opening: Mutex<()>,
-    heard_at: Cell<MonotonicTime>,
-    /// Connections opened so far.
+    /// Held while a connection is being opened, so that concurrent calls share it.
+    connect_lock: Mutex<()>,
+    /// Time of the last successful response, measured from `start`.
+    last_response_at: Cell<MonotonicTime>,
+    /// Number of connections opened so far.
     generation: Cell<u64>,
 }
 
@@ -50,51 +52,52 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The task may wait for a node that has gone silent.
+        // The task would otherwise keep waiting for a node that no longer responds.
         self.task.abort();
     }
 }
 
 impl PeerLink {
-    /// A link to the node at `address`, as IP:PORT, over TCP; nothing is opened yet.
+    /// Creates a link over TCP to the node at `address`, as IP:PORT, without opening a connection.
     pub fn new(address: String) -> Self {
         Self::with_network(Rc::new(TcpNetwork), address)
     }
 
-    /// A link to the node at `address`, as IP:PORT, over a network; nothing is opened yet.
+    /// Creates a link over `network` to the node at `address`, as IP:PORT, without opening a connection.
     pub fn with_network(network: Rc<dyn PeerNetwork>, address: String) -> Self {
         Self {
             address,
             network,
             start: Instant::now(),
             connection: RefCell::new(None),
-            opening: Mutex::new(()),
-            heard_at: Cell::new(Duration::ZERO),
+            connect_lock: Mutex::new(()),
+            last_response_at: Cell::new(Duration::ZERO),
             generation: Cell::new(0),
         }
     }
 
-    /// Where the node listens.
+    /// Address at which the node listens, as IP:PORT.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Time since the node was last heard on this link.
+    /// Time since the last successful response on this link, or since the link was created if there was none.
     pub fn silent_for(&self) -> Duration {
-        since(self.start).saturating_sub(self.heard_at.get())
+        elapsed_since(self.start).saturating_sub(self.last_response_at.get())
     }
 
-    /// Counts the connections that were opened; a new one is a reason to tell the node what runs.
+    /// Number of connections opened so far. After it changes, the caller has to report its active runs again: when a
+    /// connection ends, the node counts the runs that it learned of over it as cancelled.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Closes the connection; the next call opens a new one, and calls under way fail.
+    /// Closes the connection. Calls in progress fail, and the next call opens a new connection.
     pub fn reset(&self) {
         self.connection.borrow_mut().take();
     }
 
-    /// Opens the connection if there is none.
+    /// Opens a connection if none is open.
     ///
     /// # Errors
     /// When the node can't be reached.
@@ -102,31 +105,35 @@
         self.client().await.map(|_| ())
     }
 
-    /// Asks for a place; waits as long as the node's queue does.
+    /// Requests a slot at an upstream, and waits until the node grants or refuses it.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn request_slot(&self, ask: &SlotRequest) -> Result<SlotDecision, PeerError> {
+    pub async fn request_slot(
+        &self,
+        slot_request: &SlotRequest,
+    ) -> Result<SlotDecision, PeerError> {
         let client = self.client().await?;
         let mut request = client.ask_request();
-        encode_slot_request(ask, request.get().init_ask());
-        let response = self.heard(request.send().promise.await)?;
+        encode_slot_request(slot_request, request.get().init_ask());
+        let response = self.record_response(request.send().promise.await)?;
         decode_slot_decision(response.get()?.get_verdict()?)
     }
 
-    /// Tells of the end of a run.
+    /// Reports that a run has ended.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
-    pub async fn report_run_end(&self, ended: &RunReport) -> Result<(), PeerError> {
+    pub async fn report_run_end(&self, report: &RunReport) -> Result<(), PeerError> {
         let client = self.client().await?;
         let mut request = client.ended_request();
-        encode_run_report(ended, request.get().init_ended());
-        self.heard(request.send().promise.await)?;
+        encode_run_report(report, request.get().init_ended());
+        self.record_response(request.send().promise.await)?;
         Ok(())
     }
 
-    /// Tells of runs that another owner granted.
+    /// Reports active runs that an earlier owner granted, or that the node knew from an earlier connection, so that the
+    /// node counts them at their upstreams.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
@@ -137,11 +144,11 @@
         for (index, run) in runs.iter().enumerate() {
             encode_active_run(run, list.reborrow().get(index as u32));
         }
-        self.heard(request.send().promise.await)?;
+        self.record_response(request.send().promise.await)?;
         Ok(())
     }
 
-    /// Tells what accounts spent through this node.
+    /// Reports what accounts spent through this node.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
@@ -149,11 +156,11 @@
         let client = self.client().await?;
         let mut request = client.spent_request();
         encode_usage(report, request.get().init_report());
-        self.heard(request.send().promise.await)?;
+        self.record_response(request.send().promise.await)?;
         Ok(())
     }
 
-    /// Tells what an upstream said of its load.
+    /// Forwards the load that an upstream reported.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
@@ -161,11 +168,11 @@
         let client = self.client().await?;
         let mut request = client.load_observed_request();
         encode_load(load, request.get().init_load());
-        self.heard(request.send().promise.await)?;
+        self.record_response(request.send().promise.await)?;
         Ok(())
     }
 
-    /// Tells what upstreams said of themselves.
+    /// Forwards the notices that upstreams gave about themselves.
     ///
     /// # Errors
     /// When the node can't be reached or the connection breaks.
@@ -173,30 +180,30 @@
         let client = self.client().await?;
         let mut request = client.noticed_request();
         encode_notices(notices, request.get().init_notices(notices.len() as u32));
-        self.heard(request.send().promise.await)?;
+        self.record_response(request.send().promise.await)?;
         Ok(())
     }
 
-    /// Asks for a piece of what this node is missing of a list.
+    /// Fetches one piece of the changes that this node lacks of a list.
     ///
     /// # Errors
     /// When the node can't be reached, does not answer in time or the connection breaks.
     pub async fn fetch_list_piece(
         &self,
-        ask: ListPieceRequest,
+        piece_request: ListPieceRequest,
         limit: Duration,
     ) -> Result<ListPiece, PeerError> {
         let call = async {
             let client = self.client().await?;
             let mut request = client.list_since_request();
-            encode_list_piece_request(ask, request.get().init_piece());
-            let response = self.heard(request.send().promise.await)?;
+            encode_list_piece_request(piece_request, request.get().init_piece());
+            let response = self.record_response(request.send().promise.await)?;
             decode_list_piece(response.get()?.get_piece()?)
         };
-        within(limit, call).await
+        with_timeout(limit, call).await
     }
 
-    /// Exchanges views; a node that does not answer within `limit` counts as failed.
+    /// Exchanges digests. The caller counts a node that does not answer within `limit` as failed.
     ///
     /// # Errors
     /// When the node can't be reached, does not answer in time or the connection breaks.
@@ -205,16 +212,17 @@
             let client = self.client().await?;
             let mut request = client.exchange_request();
             encode_digest(digest, request.get().init_digest());
-            let response = self.heard(request.send().promise.await)?;
+            let response = self.record_response(request.send().promise.await)?;
             decode_digest(response.get()?.get_digest()?)
         };
-        within(limit, call).await
+        with_timeout(limit, call).await
     }
 
-    fn heard<T>(&self, result: Result<T, capnp::Error>) -> Result<T, PeerError> {
+    /// Records the time of a successful response; after an error, closes the connection.
+    fn record_response<T>(&self, result: Result<T, capnp::Error>) -> Result<T, PeerError> {
         match result {
             Ok(value) => {
-                self.heard_at.set(since(self.start));
+                self.last_response_at.set(elapsed_since(self.start));
                 Ok(value)
             }
             Err(error) => {
@@ -224,12 +232,13 @@
         }
     }
 
+    /// Returns the client of the open connection, after opening one if necessary.
     async fn client(&self) -> Result<peer::Client, PeerError> {
-        if let Some(client) = self.open_client() {
+        if let Some(client) = self.existing_client() {
             return Ok(client);
         }
-        let _guard = self.opening.lock().await;
-        if let Some(client) = self.open_client() {
+        let _guard = self.connect_lock.lock().await;
+        if let Some(client) = self.existing_client() {
             return Ok(client);
         }
         let stream = self.network.connect(&self.address).await;
@@ -237,7 +246,7 @@
             address: self.address.clone(),
             source,
         })?;
-        let mut system = RpcSystem::new(network(stream, Side::Client), None);
+        let mut system = RpcSystem::new(vat_network(stream, Side::Client), None);
         let client: peer::Client = system.bootstrap(Side::Server);
         let task = spawn_local(async move {
             if let Err(error) = system.await {
@@ -252,15 +261,16 @@
         Ok(client)
     }
 
-    fn open_client(&self) -> Option<peer::Client> {
+    /// Returns the client of the current connection, if that has not ended.
+    fn existing_client(&self) -> Option<peer::Client> {
         let connection = self.connection.borrow();
-        let open = connection.as_ref()?;
-        (!open.task.is_finished()).then(|| open.client.clone())
+        let current = connection.as_ref()?;
+        (!current.task.is_finished()).then(|| current.client.clone())
     }
 }
 
-/// The outcome of a call, if it comes within `limit`.
-async fn within<T>(
+/// Waits for a call, and fails with [`PeerError::Timeout`] if it takes longer than `limit`.
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, PeerError>>,
 ) -> Result<T, PeerError> {
--- a/crates/dragonflystep_peer/src/network.rs
+++ b/crates/dragonflystep_peer/src/network.rs
@@ -1,4 +1,4 @@
-//! How nodes reach one another: over TCP, or over a network of a test whose time is virtual.
+//! Transport between nodes: TCP, or a simulated network for tests that run in virtual time.
 
 use {
     crate::{KeepaliveLimits, configure_stream},
@@ -10,36 +10,36 @@
     },
 };
 
-/// Time to open a connection; several round trips within a region.
+/// Time limit for opening a connection, which allows for several round trips within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A connection to another node.
+/// A byte stream to another node.
 pub trait PeerStream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> PeerStream for T {}
 
-/// A connection when there is one.
+/// Resolves to a connection once it is open.
 pub type StreamFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn PeerStream>>> + 'a>>;
 
-/// Takes connections of other nodes.
+/// Accepts connections from other nodes.
 pub trait PeerListener {
     /// Waits for the next connection.
     fn accept(&mut self) -> StreamFuture<'_>;
 }
 
-/// A listener when there is one.
+/// Resolves to a listener once it is bound to its address.
 pub type ListenerFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn PeerListener>>> + 'a>>;
 
-/// The network between nodes.
+/// A transport that connects nodes; implemented by [`TcpNetwork`] and by simulated networks of tests.
 pub trait PeerNetwork {
     /// Opens a connection to the node at `address`, as IP:PORT.
     fn connect<'a>(&'a self, address: &'a str) -> StreamFuture<'a>;
 
-    /// Listens for connections of other nodes.
+    /// Listens at `address` for connections from other nodes.
     fn listen(&self, address: SocketAddr) -> ListenerFuture<'_>;
 }
 
-/// TCP, with probes that end a connection which has gone silent.
+/// TCP with keepalive probes, which close a connection whose peer no longer responds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpNetwork;
 
@@ -49,7 +49,7 @@
             let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-            prepared(stream)
+            configured(stream)
         })
     }
 
@@ -66,10 +66,12 @@
         Box::pin(async move {
             loop {
                 let (stream, _) = TcpListener::accept(self).await?;
-                match prepared(stream) {
+                match configured(stream) {
                     Ok(stream) => return Ok(stream),
                     Err(error) => {
-                        log::debug!("a connection of another node ended at once: {error}")
+                        log::debug!(
+                            "an accepted connection from another node could not be set up: {error}"
+                        )
                     }
                 }
             }
@@ -77,7 +79,8 @@
     }
 }
 
-fn prepared(stream: TcpStream) -> io::Result<Box<dyn PeerStream>> {
+/// Sets the socket options of a new connection.
+fn configured(stream: TcpStream) -> io::Result<Box<dyn PeerStream>> {
     configure_stream(&stream, KeepaliveLimits::default())?;
     Ok(Box::new(stream))
 }
--- a/crates/dragonflystep_peer/src/notice_codec.rs
+++ b/crates/dragonflystep_peer/src/notice_codec.rs
@@ -1,4 +1,4 @@
-//! What upstreams said of themselves, to and from the schema's structures.
+//! Encodes and decodes the notices that upstreams give about themselves.
 
 use {
     crate::{
@@ -11,22 +11,22 @@
     std::time::Duration,
 };
 
-/// Writes notices into a list of their number.
+/// Encodes notices into `out`, a list with as many elements as there are notices.
 pub(crate) fn encode_notices(
     notices: &[UpstreamNotice],
     mut out: struct_list::Builder<'_, upstream_notice::Owned>,
 ) {
     for (index, notice) in notices.iter().enumerate() {
-        let mut slot = out.reborrow().get(index as u32);
-        slot.set_service(&*notice.service);
-        slot.set_upstream(&*notice.upstream);
-        slot.set_age_us(to_us(notice.age));
+        let mut entry = out.reborrow().get(index as u32);
+        entry.set_service(&*notice.service);
+        entry.set_upstream(&*notice.upstream);
+        entry.set_age_us(to_us(notice.age));
         match notice.kind {
-            NoticeKind::RateLimited { requests_per_s } => slot.set_requests_per_s(requests_per_s),
-            NoticeKind::RateUnlimited => slot.set_rate_unlimited(()),
-            NoticeKind::Leaving => slot.set_leaving(()),
+            NoticeKind::RateLimited { requests_per_s } => entry.set_requests_per_s(requests_per_s),
+            NoticeKind::RateUnlimited => entry.set_rate_unlimited(()),
+            NoticeKind::Leaving => entry.set_leaving(()),
             NoticeKind::BackOff { node, duration } => {
-                let mut resting = slot.init_resting();
+                let mut resting = entry.init_resting();
                 resting.set_node(node);
                 resting.set_lasts_us(to_us(duration));
             }
@@ -34,14 +34,17 @@
     }
 }
 
-/// Reads notices; those of kinds that this version does not know are passed over.
+/// Decodes notices; skips those whose kind this version does not know, and rate limits that are negative or not
+/// finite.
 pub(crate) fn decode_notices(
     input: struct_list::Reader<'_, upstream_notice::Owned>,
 ) -> Result<Vec<UpstreamNotice>, PeerError> {
     let mut notices = Vec::with_capacity(input.len() as usize);
     for message in input {
         let Some(kind) = decode_kind(message) else {
-            log::debug!("a notice of another node is of a kind that is not known");
+            log::debug!(
+                "skipped a notice from another node: its kind is unknown or its rate is invalid"
+            );
             continue;
         };
         notices.push(UpstreamNotice {
--- a/crates/dragonflystep_peer/src/server.rs
+++ b/crates/dragonflystep_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that is called.
+//! Server side of the calls between nodes.
 
 use {
     crate::{
@@ -22,52 +22,56 @@
     tokio_util::compat::{Compat, TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt},
 };
 
-/// A verdict that comes when there is one; dropping it withdraws the request.
+/// Resolves once a slot is granted or refused; dropping it withdraws the request.
 pub type SlotDecisionFuture = Pin<Box<dyn Future<Output = SlotDecision>>>;
 
-/// What a node does for one other node; dropped when the connection ends.
+/// Handles the calls that arrive on one connection from another node; dropped when that connection ends.
 pub trait PeerHandler {
-    /// Asks for a place.
+    /// Requests a slot at an upstream.
     fn request_slot(&self, request: SlotRequest) -> SlotDecisionFuture;
 
-    /// Tells of the end of a run.
-    fn report_run_end(&self, ended: RunReport);
+    /// Takes the report of a run that has ended.
+    fn report_run_end(&self, report: RunReport);
 
-    /// Tells of runs that another owner granted.
+    /// Takes over active runs that an earlier owner granted, or that were known from an earlier connection.
     fn adopt_runs(&self, runs: Vec<ActiveRun>);
 
-    /// Tells what accounts spent through the calling node, before it asks for a place.
+    /// Takes the report of what accounts spent through the calling node, which arrives before its first slot request.
     fn report_usage(&self, report: UsageReport);
 
-    /// Tells what an upstream said of its load.
+    /// Takes the load that an upstream reported.
     fn report_load(&self, load: UpstreamLoad);
 
-    /// Tells what upstreams said of themselves.
+    /// Takes the notices of upstreams about themselves that the calling node knows of.
     fn share_notices(&self, notices: Vec<UpstreamNotice>);
 
-    /// A piece of what a node is missing that has a version of a list.
+    /// Returns one piece of the changes that the calling node lacks of a list.
     fn fetch_list_piece(&self, request: ListPieceRequest) -> ListPiece;
 
-    /// Tells a view and asks for the own one.
+    /// Takes the calling node's digest and returns the digest of this node.
     fn exchange(&self, digest: Digest) -> Digest;
 }
 
-/// Buffer for each direction of a connection, in bytes; one call takes a few hundred.
+/// Buffer size for each direction of a connection, in bytes; a call takes a few hundred.
 pub(crate) const BUFFER_BYTES: usize = 2048;
 
-/// Serves one connection of another node until it ends.
+/// Serves one connection from another node until it ends.
 pub async fn serve_peer(stream: Box<dyn PeerStream>, handler: Rc<dyn PeerHandler>) {
-    let network = network(stream, Side::Server);
-    let client: peer::Client = new_client(Served { handler });
+    let network = vat_network(stream, Side::Server);
+    let client: peer::Client = new_client(RpcService { handler });
     if let Err(error) = RpcSystem::new(network, Some(client.client)).await {
-        log::debug!("a connection of another node ended: {error}");
+        log::debug!("a connection from another node ended: {error}");
     }
 }
 
-/// What reads a connection, buffered.
+/// Buffered reading half of a connection.
 type StreamReader = BufReader<Compat<ReadHalf<Box<dyn PeerStream>>>>;
 
-pub(crate) fn network(stream: Box<dyn PeerStream>, side: Side) -> Box<VatNetwork<StreamReader>> {
+/// Sets up the Cap'n Proto RPC transport over a connection.
+pub(crate) fn vat_network(
+    stream: Box<dyn PeerStream>,
+    side: Side,
+) -> Box<VatNetwork<StreamReader>> {
     let (read, write): (_, WriteHalf<_>) = split(stream);
     Box::new(VatNetwork::new(
         BufReader::with_capacity(BUFFER_BYTES, read.compat()),
@@ -77,18 +81,19 @@
     ))
 }
 
-struct Served {
+/// Decodes the calls of one connection and passes them to its handler.
+struct RpcService {
     handler: Rc<dyn PeerHandler>,
 }
 
-impl peer::Server for Served {
+impl peer::Server for RpcService {
     fn ask(
         &mut self,
         params: peer::AskParams,
         mut results: peer::AskResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_ask());
-        let request = pry!(decode_slot_request(message).map_err(|error| to_capnp(&error)));
+        let request = pry!(decode_slot_request(message).map_err(|error| to_rpc_error(&error)));
         let decision = self.handler.request_slot(request);
         Promise::from_future(async move {
             let decision = decision.await;
@@ -104,7 +109,7 @@
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_ended());
         self.handler.report_run_end(pry!(
-            decode_run_report(message).map_err(|error| to_capnp(&error))
+            decode_run_report(message).map_err(|error| to_rpc_error(&error))
         ));
         Promise::ok(())
     }
@@ -117,7 +122,7 @@
         let messages = pry!(pry!(params.get()).get_runs());
         let runs: Result<Vec<_>, _> = messages.iter().map(decode_active_run).collect();
         self.handler
-            .adopt_runs(pry!(runs.map_err(|error| to_capnp(&error))));
+            .adopt_runs(pry!(runs.map_err(|error| to_rpc_error(&error))));
         Promise::ok(())
     }
 
@@ -127,7 +132,7 @@
         _: peer::SpentResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_report());
-        let report = pry!(decode_usage(message).map_err(|error| to_capnp(&error)));
+        let report = pry!(decode_usage(message).map_err(|error| to_rpc_error(&error)));
         self.handler.report_usage(report);
         Promise::ok(())
     }
@@ -138,8 +143,9 @@
         _: peer::LoadObservedResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_load());
-        self.handler
-            .report_load(pry!(decode_load(message).map_err(|error| to_capnp(&error))));
+        self.handler.report_load(pry!(
+            decode_load(message).map_err(|error| to_rpc_error(&error))
+        ));
         Promise::ok(())
     }
 
@@ -151,7 +157,7 @@
         let messages = pry!(pry!(params.get()).get_notices());
         let notices = decode_notices(messages);
         self.handler
-            .share_notices(pry!(notices.map_err(|error| to_capnp(&error))));
+            .share_notices(pry!(notices.map_err(|error| to_rpc_error(&error))));
         Promise::ok(())
     }
 
@@ -161,7 +167,8 @@
         mut results: peer::ListSinceResults,
     ) -> Promise<(), capnp::Error> {
         let request = pry!(pry!(params.get()).get_piece());
-        let request = pry!(decode_list_piece_request(request).map_err(|error| to_capnp(&error)));
+        let request =
+            pry!(decode_list_piece_request(request).map_err(|error| to_rpc_error(&error)));
         let piece = self.handler.fetch_list_piece(request);
         encode_list_piece(&piece, results.get().init_piece());
         Promise::ok(())
@@ -173,13 +180,13 @@
         mut results: peer::ExchangeResults,
     ) -> Promise<(), capnp::Error> {
         let message = pry!(pry!(params.get()).get_digest());
-        let theirs = pry!(decode_digest(message).map_err(|error| to_capnp(&error)));
-        let own = self.handler.exchange(theirs);
-        encode_digest(&own, results.get().init_digest());
+        let peer_digest = pry!(decode_digest(message).map_err(|error| to_rpc_error(&error)));
+        let own_digest = self.handler.exchange(peer_digest);
+        encode_digest(&own_digest, results.get().init_digest());
         Promise::ok(())
     }
 }
 
-fn to_capnp(error: &PeerError) -> capnp::Error {
+fn to_rpc_error(error: &PeerError) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
--- a/crates/dragonflystep_peer/src/sockets.rs
+++ b/crates/dragonflystep_peer/src/sockets.rs
@@ -1,7 +1,7 @@
-//! Options of TCP sockets that show a connection which has gone silent.
+//! Options of TCP sockets that detect a connection whose peer no longer responds.
 //!
-//! A peer without power, or behind a partition, answers nothing, and a network device may forget a
-//! connection while new ones work. Neither shows without probes.
+//! A peer that lost power or is behind a network partition sends nothing, not even a reset, and a network device
+//! may drop the state of a connection while new connections still work. Neither is noticed without probes.
 
 use {
     socket2::{SockRef, TcpKeepalive},
@@ -9,19 +9,20 @@
     tokio::net::TcpStream,
 };
 
-/// After how long a silent connection ends.
+/// Limits after which a connection that receives nothing is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepaliveLimits {
-    /// Time without data until the first probe, and between probes; whole seconds.
+    /// Time without data until the first probe, and between two probes, in whole seconds.
     pub probe_interval: Duration,
-    /// Probes without an answer.
+    /// Number of unanswered probes after which the connection is closed.
     pub probes: u32,
-    /// Time that sent data may stay without an acknowledgement.
+    /// Time for which sent data may stay unacknowledged.
     pub unacknowledged: Duration,
 }
 
 impl Default for KeepaliveLimits {
-    /// The shortest probes that the system offers: a silent connection ends after three seconds.
+    /// The shortest probe interval that the operating system offers: a connection that receives nothing is closed after
+    /// three seconds.
     fn default() -> Self {
         Self {
             probe_interval: Duration::from_secs(1),
@@ -31,10 +32,10 @@
     }
 }
 
-/// Sets a stream up for short messages and for probes.
+/// Disables Nagle's algorithm, since messages are short, and enables keepalive probes.
 ///
 /// # Errors
-/// When the system refuses an option.
+/// When the operating system rejects a socket option.
 pub fn configure_stream(stream: &TcpStream, limits: KeepaliveLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
