--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! A small client of the administration API.
+//! A small client for the administration API of a node.
 
 use {
     super::Failure,
@@ -8,9 +8,9 @@
     std::time::Duration,
 };
 
-/// Environment variable that holds the administration key, so that it stands in no process list.
+/// Environment variable with the administration key. As a command-line argument, the key would show in process lists.
 pub const KEY_VARIABLE: &str = "DRAGONFLYSTEP_ADMIN_KEY";
-/// A little longer than a node takes to settle a change.
+/// Time limit for a call, a little longer than a node takes to determine whether a change was made.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Calls the administration API of one node.
@@ -22,14 +22,14 @@
 }
 
 impl AdminClient {
-    /// A client for the node at `address`; the key comes from the environment.
+    /// Creates a client for the node at `address`, with the key from [`KEY_VARIABLE`].
     pub fn from_environment(address: &str) -> Result<Self, Failure> {
         let key = std::env::var(KEY_VARIABLE)
             .map_err(|_| Failure::BadInput(format!("set {KEY_VARIABLE} to a read or edit key")))?;
         Self::new(address, &key)
     }
 
-    /// A client for the node at `address`.
+    /// Creates a client for the node at `address`, as IP:PORT, with an administration key.
     pub fn new(address: &str, key: &str) -> Result<Self, Failure> {
         let client = Client::builder().no_proxy().timeout(CALL_TIMEOUT).build()?;
         Ok(Self {
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Reads a page.
+    /// Fetches the JSON document at `path`; any status other than success is an error.
     pub async fn get(&self, path: &str) -> Result<Value, Failure> {
         let (status, body) = self.call(Method::GET, path, None).await?;
         if !status.is_success() {
@@ -48,7 +48,7 @@
         Ok(body)
     }
 
-    /// Sends a document; the status is the caller's to judge.
+    /// Posts a JSON document, and returns the status and the answer without checking the status.
     pub async fn post(&self, path: &str, body: &Value) -> Result<(StatusCode, Value), Failure> {
         self.call(Method::POST, path, Some(body)).await
     }
--- a/src/cli/catalogue.rs
+++ b/src/cli/catalogue.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep catalogue`: shows and changes what the system obeys.
+//! `dragonflystep catalogue`: shows and changes the catalogue.
 
 use {
     super::{
@@ -11,7 +11,7 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "catalogue")]
 pub struct CatalogueCommand {
-    /// administration address of a node, IP number and port
+    /// administration address of a node, as IP:PORT
     #[argh(option)]
     admin: String,
     #[argh(subcommand)]
@@ -33,12 +33,12 @@
 #[argh(subcommand, name = "show")]
 struct Show {}
 
-/// Shows which version is in force on each node, and who grants for each group.
+/// Shows which catalogue version is in force on each node, and which node is the broker of each group.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 struct Status {}
 
-/// Shows who changed what, and why.
+/// Shows the changes of the catalogue with their authors and reasons.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "history")]
 struct History {
@@ -51,10 +51,10 @@
     pub async fn run(self) -> Result<(), Failure> {
         let client = AdminClient::from_environment(&self.admin)?;
         match self.action {
-            Action::Show(Show {}) => show(&client, "/admin/catalogue").await,
-            Action::Status(Status {}) => show(&client, "/admin/status").await,
+            Action::Show(Show {}) => print_document(&client, "/admin/catalogue").await,
+            Action::Status(Status {}) => print_document(&client, "/admin/status").await,
             Action::History(history) => {
-                show(&client, &format!("/admin/history?since={}", history.since)).await
+                print_document(&client, &format!("/admin/history?since={}", history.since)).await
             }
             Action::Apply(apply) => apply.run(&client).await,
             Action::Diff(diff) => diff.run(&client).await,
@@ -62,8 +62,9 @@
     }
 }
 
-async fn show(client: &AdminClient, path: &str) -> Result<(), Failure> {
-    let page = client.get(path).await?;
-    output::text(&serde_json::to_string_pretty(&page)?);
+/// Fetches a document of the administration API and prints it as indented JSON.
+async fn print_document(client: &AdminClient, path: &str) -> Result<(), Failure> {
+    let document = client.get(path).await?;
+    output::text(&serde_json::to_string_pretty(&document)?);
     Ok(())
 }
--- a/src/cli/catalogue_apply.rs
+++ b/src/cli/catalogue_apply.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep catalogue apply`: makes the catalogue equal to a document, in as many changes as that needs.
+//! `dragonflystep catalogue apply`: makes the catalogue equal to a document, split into as many changes as needed.
 
 use {
     super::{Failure, admin_client::AdminClient, check::read_catalogue, output},
@@ -20,23 +20,24 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
-    /// catalogue document, JSON
+    /// catalogue document in JSON
     #[argh(positional)]
     file: PathBuf,
     /// who makes the change
     #[argh(option)]
     author: String,
-    /// why
+    /// reason for the change
     #[argh(option)]
     reason: String,
 }
 
-/// How far a document in several parts came.
+/// Progress of applying a document that was split into several changes.
 struct Progress<'a> {
+    /// Edits of each change, in the order in which the changes are sent.
     parts: &'a [Vec<Edit>],
-    /// Parts that are certainly made.
-    made: usize,
-    /// Version that the last of them made.
+    /// Number of parts that are known to be applied.
+    applied: usize,
+    /// Catalogue version after the last applied part.
     version: u64,
 }
 
@@ -47,7 +48,7 @@
         let edits = document
             .edits_against(&current)
             .map_err(|faults| Failure::BadInput(faults.to_string()))?;
-        let parts = split_edits(&current, &edits).map_err(|faults| cannot_split(&faults))?;
+        let parts = split_edits(&current, &edits).map_err(|faults| split_error(&faults))?;
         match &*parts {
             [] => output::text(&format!(
                 "version {} says the same already",
@@ -56,7 +57,7 @@
             [edits] => {
                 let change = self.change(current.version, edits)?;
                 let (status, answer) = client.post("/admin/catalogue", &change).await?;
-                report_change(status, &answer)?;
+                print_outcome(status, &answer)?;
             }
             parts => self.send_parts(client, current.version, parts).await?,
         }
@@ -71,17 +72,18 @@
     ) -> Result<(), Failure> {
         let mut progress = Progress {
             parts,
-            made: 0,
+            applied: 0,
             version,
         };
         for edits in parts {
             let change = self.change(progress.version, edits)?;
-            let answered = client.post("/admin/catalogue", &change).await;
-            let (status, answer) = answered.map_err(|failure| progress.stopped(&failure, true))?;
+            let result = client.post("/admin/catalogue", &change).await;
+            let (status, answer) =
+                result.map_err(|failure| progress.interrupted(&failure, true))?;
             let is_unsettled = status == StatusCode::GATEWAY_TIMEOUT || answer["unsettled"] == true;
-            report_change(status, &answer)
-                .map_err(|failure| progress.stopped(&failure, is_unsettled))?;
-            progress.made += 1;
+            print_outcome(status, &answer)
+                .map_err(|failure| progress.interrupted(&failure, is_unsettled))?;
+            progress.applied += 1;
             progress.version = answer["version"].as_u64().unwrap_or(progress.version);
         }
         output::text(&format!(
@@ -104,9 +106,10 @@
 }
 
 impl Progress<'_> {
-    /// Says how far it came and what is missing.
-    fn stopped(&self, failure: &Failure, is_unsettled: bool) -> Failure {
-        let (made, missing) = self.parts.split_at(self.made);
+    /// Describes how many edits were applied and which are missing; `is_unsettled` if the outcome of the failed part
+    /// is unknown.
+    fn interrupted(&self, failure: &Failure, is_unsettled: bool) -> Failure {
+        let (applied, missing) = self.parts.split_at(self.applied);
         let count = |parts: &[Vec<Edit>]| parts.iter().map(Vec::len).sum::<usize>();
         let first = missing.first().and_then(|part| part.first());
         let first = first.map_or_else(String::new, |edit| edit.item().to_string());
@@ -120,25 +123,25 @@
         };
         eyre!(
             "stopped at part {} of {}: version {} was reached with {} edits, {} are missing, from {first} on{unsettled}; \
-             applying the document again goes on from what is in force\n{cause}",
-            self.made + 1,
+             apply the document again to continue from the version in force\n{cause}",
+            self.applied + 1,
             self.parts.len(),
             self.version,
-            count(made),
+            count(applied),
             count(missing),
         )
         .into()
     }
 }
 
-fn cannot_split(faults: &[ChangeFault]) -> Failure {
+fn split_error(faults: &[ChangeFault]) -> Failure {
     let shown = serde_json::to_string_pretty(faults).unwrap_or_default();
     Failure::BadInput(format!(
-        "the document needs several changes and one of them would be refused; nothing was changed:\n{shown}"
+        "the document has to be split into several changes, one of which would be refused; nothing was changed:\n{shown}"
     ))
 }
 
-fn report_change(status: StatusCode, answer: &Value) -> Result<(), Failure> {
+fn print_outcome(status: StatusCode, answer: &Value) -> Result<(), Failure> {
     let shown = serde_json::to_string_pretty(answer)?;
     match status {
         status if status.is_success() => output::text(&shown),
@@ -154,7 +157,7 @@
     Ok(())
 }
 
-/// A text that no other call uses, by which a lost answer is settled.
+/// Returns a token that no other call uses, by which nodes determine whether a change was made if an answer is lost.
 fn change_token() -> String {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/cli/catalogue_diff.rs
+++ b/src/cli/catalogue_diff.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep catalogue diff`: what differs between two versions, and who changed it.
+//! `dragonflystep catalogue diff`: shows the differences between two catalogue versions, and who made them.
 
 use {
     super::{Failure, admin_client::AdminClient, output},
@@ -7,7 +7,7 @@
     serde::Deserialize,
 };
 
-/// Shows what differs between two versions, and who changed it.
+/// Shows the differences between two catalogue versions, and who made them.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "diff")]
 pub struct Diff {
@@ -17,19 +17,19 @@
     /// newer version
     #[argh(positional)]
     to: u64,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "String::from(\"text\")")]
     format: String,
 }
 
-/// The changes that a node keeps, as it shows them.
+/// Answer of `/admin/history`: the catalogue changes that the node still keeps.
 #[derive(Deserialize)]
 struct KeptChanges {
     changes: Vec<CatalogueChange>,
 }
 
 impl Diff {
-    /// Reads the kept changes from a node, and shows the difference.
+    /// Fetches the changes that a node keeps, and prints the differences between the two versions.
     pub async fn run(self, client: &AdminClient) -> Result<(), Failure> {
         let page = client.get("/admin/history?since=0").await?;
         let kept: KeptChanges = serde_json::from_value(page)?;
@@ -40,7 +40,7 @@
             "json" => output::text(&serde_json::to_string_pretty(&diff)?),
             other => {
                 return Err(Failure::BadInput(format!(
-                    "catalogue diff: no format {other}; text or json"
+                    "catalogue diff: unknown format {other}, use text or json"
                 )));
             }
         }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep check`: reads settings and catalogue documents and names every fault.
+//! `dragonflystep check`: validates settings files and catalogue documents, and lists every fault.
 
 use {
     super::{Failure, output},
@@ -11,10 +11,10 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "check")]
 pub struct CheckCommand {
-    /// settings file of a node, JSON
+    /// settings file of a node, in JSON
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// catalogue document, JSON
+    /// catalogue document in JSON
     #[argh(option)]
     catalogue: Option<PathBuf>,
 }
@@ -23,7 +23,7 @@
     pub fn run(self) -> Result<(), Failure> {
         if self.settings.is_none() && self.catalogue.is_none() {
             return Err(Failure::BadInput(
-                "check: name a --settings or a --catalogue file".to_owned(),
+                "check: pass a file with --settings, --catalogue or both".to_owned(),
             ));
         }
         if let Some(path) = &self.settings {
@@ -38,20 +38,21 @@
     }
 }
 
-/// Reads a settings file.
+/// Reads and validates a settings file; the error text contains the file's path.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, Failure> {
     NodeSettings::read(path).map_err(|error| bad_input(path, &error.to_string()))
 }
 
-/// Reads a catalogue document.
+/// Reads and validates a catalogue document; the error text contains the file's path.
 pub fn read_catalogue(path: &Path) -> Result<CatalogueDocument, Failure> {
     CatalogueDocument::read(path).map_err(|error| bad_input(path, &error.to_string()))
 }
 
+/// Creates an error for invalid input, and puts the path in front if the text does not contain it.
 fn bad_input(path: &Path, faults: &str) -> Failure {
     let prefix = path.display().to_string();
-    let already_named = faults.contains(&prefix);
-    Failure::BadInput(if already_named {
+    let has_path = faults.contains(&prefix);
+    Failure::BadInput(if has_path {
         faults.to_owned()
     } else {
         format!("{prefix}:\n{faults}")
--- a/src/cli/demo/mod.rs
+++ b/src/cli/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep demo`: a whole system on stand-ins inside one process.
+//! `dragonflystep demo`: runs a complete system in one process, with stand-ins for the external systems.
 
 mod summary;
 mod system;
@@ -20,7 +20,7 @@
     },
 };
 
-/// Runs a whole system on stand-ins inside this process, sends traffic and prints what came back.
+/// Runs a complete system with stand-ins for external systems in this process, sends traffic and prints the results.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "demo")]
 pub struct DemoCommand {
@@ -30,7 +30,7 @@
     /// number of requests
     #[argh(option, default = "400")]
     requests: u32,
-    /// file for the nodes' log; nothing is logged when missing
+    /// file for the nodes' log; default: no log
     #[argh(option)]
     log: Option<PathBuf>,
 }
@@ -45,20 +45,20 @@
             "{} nodes, {} engines of two speeds and {} plain workers run on loopback; sending {} requests.",
             system::NODES,
             system::ENGINES,
-            system::PLAIN_WORKERS,
+            system::PLAIN_UPSTREAMS,
             self.requests
         ));
         let report = self.send_traffic(&system).await;
         output::text(&summary::traffic(&report));
-        output::text(&summary::work(&system));
+        output::text(&summary::prompt_tokens(&system));
         output::text(&system.burn_report().await?);
-        let faults = summary::faults(&report, &system);
+        let violations = summary::violations(&report, &system);
         system.stop().await;
-        if faults.is_empty() {
+        if violations.is_empty() {
             output::text("Every answer was checked token by token; no promise was broken.");
             return Ok(());
         }
-        Err(eyre!("promises broken:\n{}", faults.join("\n")).into())
+        Err(eyre!("promises broken:\n{}", violations.join("\n")).into())
     }
 
     async fn send_traffic(&self, system: &System) -> CallerReport {
--- a/src/cli/demo/summary.rs
+++ b/src/cli/demo/summary.rs
@@ -1,4 +1,5 @@
-//! What the demo prints, and the independent check of its promises.
+//! The demo's summary texts, and a check of the scheduler's guarantees that relies only on the records of callers and
+//! stand-ins.
 
 use {
     super::system::System,
@@ -9,14 +10,14 @@
     std::{collections::BTreeMap, fmt::Write},
 };
 
-/// Goodput by tier, as the callers saw it.
+/// Formats the goodput and latency of each tier as measured by the callers.
 pub fn traffic(report: &CallerReport) -> String {
     let mut out = String::from(
         "\ntier         sent   good  share  refused  first token p50/p95 ms  whole answer p50/p95 ms\n",
     );
     for (name, tier) in &report.tiers {
         let refused: u32 = tier.refusals.values().sum();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             out,
             "{name:<11} {:>5}  {:>5}  {:>5.3}  {refused:>7}  {:>22}  {:>23}",
@@ -30,8 +31,8 @@
     out
 }
 
-/// Prompt work of the engines, as they recorded it.
-pub fn work(system: &System) -> String {
+/// Formats how many prompt tokens the engines computed, found in their caches and computed in vain.
+pub fn prompt_tokens(system: &System) -> String {
     let records: Vec<_> = system
         .engines()
         .iter()
@@ -41,36 +42,37 @@
     let cached: u64 = records.iter().map(|record| record.cached_tokens).sum();
     let dispatches = records.iter().flat_map(|record| &record.dispatches);
     let wasted: u64 = dispatches
-        .filter(|dispatch| is_thrown_away(dispatch))
-        .map(prompt_work)
+        .filter(|dispatch| is_wasted(dispatch))
+        .map(uncached_prompt_tokens)
         .sum();
     format!(
         "prompt tokens: {computed} computed, {cached} found in the engines' caches, {wasted} computed and thrown away"
     )
 }
 
-/// Promises that the records of callers and stand-ins show as broken.
-pub fn faults(report: &CallerReport, system: &System) -> Vec<String> {
-    let mut faults = Vec::new();
+/// Lists the violated guarantees: wrong answers, engines over their limit, and orders that ran more than once.
+pub fn violations(report: &CallerReport, system: &System) -> Vec<String> {
+    let mut violations = Vec::new();
     if report.broken_answers() > 0 {
-        faults.push(format!(
+        violations.push(format!(
             "{} answers were wrong or cut short",
             report.broken_answers()
         ));
     }
     for (limit, engine) in system.engines().iter().map(|engine| (8, engine.records())) {
         if engine.most_streams > limit {
-            faults.push(format!(
+            violations.push(format!(
                 "an engine had {} streams under a limit of {limit}",
                 engine.most_streams
             ));
         }
     }
-    faults.extend(doubled_orders(system));
-    faults
+    violations.extend(duplicate_orders(system));
+    violations
 }
 
-fn doubled_orders(system: &System) -> Vec<String> {
+/// Lists the orders, identified by their body, that ran more than once.
+fn duplicate_orders(system: &System) -> Vec<String> {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for service in system.services() {
         for call in service
@@ -88,14 +90,14 @@
         .collect()
 }
 
-fn is_thrown_away(dispatch: &DispatchRecord) -> bool {
+fn is_wasted(dispatch: &DispatchRecord) -> bool {
     matches!(
         dispatch.outcome,
         DispatchOutcome::Cancelled | DispatchOutcome::Lost | DispatchOutcome::Expired
     )
 }
 
-fn prompt_work(dispatch: &DispatchRecord) -> u64 {
+fn uncached_prompt_tokens(dispatch: &DispatchRecord) -> u64 {
     u64::from(
         dispatch
             .prompt_tokens
--- a/src/cli/demo/system.rs
+++ b/src/cli/demo/system.rs
@@ -1,4 +1,4 @@
-//! The demo's nodes and stand-ins.
+//! Starts and stops the demo's nodes and stand-ins.
 
 use {
     super::super::{Failure, admin_client::AdminClient},
@@ -24,19 +24,19 @@
     tokio::time::sleep,
 };
 
-/// Number of nodes.
+/// Number of scheduler nodes.
 pub const NODES: usize = 3;
-/// Number of engines.
+/// Number of model engines; every second one is half as fast.
 pub const ENGINES: usize = 4;
-/// Number of plain workers.
-pub const PLAIN_WORKERS: usize = 2;
-/// Service of the engines.
+/// Number of upstreams of the plain service.
+pub const PLAIN_UPSTREAMS: usize = 2;
+/// Name of the service that the engines provide.
 pub const MODEL_SERVICE: &str = "assistant";
 /// Model that the engines serve.
 pub const MODEL: &str = "demo-model";
-/// Service of the plain workers.
+/// Name of the plain service.
 pub const PLAIN_SERVICE: &str = "ledger";
-/// Client accounts with their part of the traffic.
+/// Client accounts, each with its share of the traffic.
 pub const ACCOUNTS: [(&str, f64); 3] = [("works", 0.6), ("bench", 0.3), ("office", 0.1)];
 
 const PLATFORM_KEY: &str = "demo-platform-key";
@@ -46,7 +46,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const READY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Everything that the demo started.
+/// The running nodes and stand-ins of the demo.
 pub struct System {
     nodes: Vec<Node>,
     engines: Vec<EngineFake>,
@@ -54,13 +54,13 @@
     platform: PlatformFake,
 }
 
-/// Key of a client account of the demo.
+/// Returns the API key of a client account.
 pub fn account_key(name: &str) -> String {
     format!("demo-key-of-{name}")
 }
 
 impl System {
-    /// Starts everything, applies the catalogue and waits until every group has a broker.
+    /// Starts the stand-ins and nodes, applies the catalogue, and waits until every group has a broker.
     pub async fn start() -> Result<Self, Failure> {
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = PlatformFake::start(loopback, PLATFORM_KEY).await?;
@@ -69,7 +69,7 @@
             engines.push(EngineFake::start(loopback, engine_settings(number)).await?);
         }
         let mut services = Vec::new();
-        for _ in 0..PLAIN_WORKERS {
+        for _ in 0..PLAIN_UPSTREAMS {
             services.push(ServiceFake::start(loopback, service_settings()).await?);
         }
         let mut nodes = Vec::new();
@@ -88,7 +88,7 @@
         Ok(system)
     }
 
-    /// Where callers reach the nodes.
+    /// Addresses at which the nodes accept requests of callers.
     pub fn caller_addresses(&self) -> Vec<String> {
         self.nodes
             .iter()
@@ -96,17 +96,17 @@
             .collect()
     }
 
-    /// The engines.
+    /// Stand-ins for the model engines.
     pub fn engines(&self) -> &[EngineFake] {
         &self.engines
     }
 
-    /// The plain workers.
+    /// Stand-ins for the upstreams of the plain service.
     pub fn services(&self) -> &[ServiceFake] {
         &self.services
     }
 
-    /// The burn report over all nodes, as text.
+    /// Formats the burn report over all nodes as text.
     pub async fn burn_report(&self) -> Result<String, Failure> {
         let mut reports = Vec::new();
         for node in &self.nodes {
@@ -117,7 +117,7 @@
         Ok(text::render(&BurnReport::join(&reports, &[], now_s))?)
     }
 
-    /// Stops the nodes as planned, then the stand-ins.
+    /// Stops the nodes gracefully, then the stand-ins.
     pub async fn stop(self) {
         for node in &self.nodes {
             node.stopper().stop();
@@ -144,7 +144,7 @@
             "token": "demo-first-catalogue",
             "edits": serde_json::to_value(edits)?,
         });
-        // A node that has just started may not have read the table service yet.
+        // The first calls may fail, since a node that has just started may not have read the table service yet.
         let client = admin(&self.nodes[0], EDIT_KEY)?;
         let started_at = Instant::now();
         loop {
@@ -224,7 +224,7 @@
     !groups.is_empty() && groups.iter().all(|group| group["holder"].is_string())
 }
 
-/// Whether this node knows every node to have the first catalogue in force.
+/// Whether this status shows the first catalogue version in force on all nodes.
 fn all_in_force(status: &Value) -> bool {
     let nodes = status["nodes"]
         .as_array()
@@ -238,13 +238,13 @@
         "data_centre": "a", "limits": {"running_requests": running_requests}})
 }
 
-/// Every second engine is half as fast.
+/// Settings of an engine; those with an odd number are half as fast.
 fn engine_settings(number: usize) -> EngineFakeSettings {
-    let slowness = 1 + (number % 2) as u32;
+    let slowdown = 1 + (number % 2) as u32;
     EngineFakeSettings::new(EngineShape {
-        prefill_tokens_per_s: 16_000.0 / f64::from(slowness),
-        decode_step: Duration::from_millis(8) * slowness,
-        decode_step_per_stream: Duration::from_micros(300) * slowness,
+        prefill_tokens_per_s: 16_000.0 / f64::from(slowdown),
+        decode_step: Duration::from_millis(8) * slowdown,
+        decode_step_per_stream: Duration::from_micros(300) * slowdown,
         max_batch: 8,
         cache_blocks: 512,
         load_lag: Duration::from_secs(1),
@@ -272,7 +272,7 @@
     Ok(NodeSettings::parse(&settings.to_string())?)
 }
 
-/// An address on loopback whose port was free a moment ago; settings name no free ports by themselves.
+/// Returns a loopback address whose port was free a moment ago, because node settings do not accept port 0.
 fn free_address() -> Result<SocketAddr, Failure> {
     Ok(TcpListener::bind(("127.0.0.1", 0))?.local_addr()?)
 }
--- a/src/cli/edge.rs
+++ b/src/cli/edge.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep edge`: runs one edge node on the users' platform until it is asked to stop.
+//! `dragonflystep edge`: runs one edge node on the users' platform until it is signalled to stop.
 
 use {
     super::Failure,
@@ -9,14 +9,14 @@
     tokio::task::LocalSet,
 };
 
-/// Runs one edge node until SIGTERM or SIGINT; a planned stop cuts off no request.
+/// Runs one edge node until SIGTERM or SIGINT, which stop it without cutting off requests.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "edge")]
 pub struct EdgeCommand {
-    /// settings file, JSON
+    /// settings file in JSON
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and start nothing
+    /// check the settings without starting the node
     #[argh(switch)]
     check: bool,
 }
@@ -36,9 +36,9 @@
             .enable_all()
             .build()?;
         let node = async {
-            let writing = tokio::task::spawn_local(log.clone().run());
+            let log_writer = tokio::task::spawn_local(log.clone().run());
             let result = dragonflystep_site::run(settings, &store, Some(path), stop_signal()).await;
-            writing.abort();
+            log_writer.abort();
             result
         };
         let result = LocalSet::new().block_on(&runtime, node);
--- a/src/cli/edge_report.rs
+++ b/src/cli/edge_report.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep report edge`: the burn report over edge nodes.
+//! `dragonflystep report edge`: reports how fast edge nodes spend the error budget of each route.
 
 use {
     super::{Failure, output},
@@ -7,20 +7,20 @@
     std::time::Duration,
 };
 
-/// Time for a metrics page; a node that needs longer counts as missing.
+/// Time limit for fetching a metrics page; a node that takes longer is reported as missing.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Service-level burn by route over edge nodes, counted since their starts.
+/// Reports the error budget burn of each route over edge nodes, counted since each node started.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "edge")]
 pub struct EdgeBurn {
-    /// metrics address of a node, IP number and port; name all nodes
+    /// metrics address of a node, as IP:PORT; repeat for every node
     #[argh(option)]
     metrics: Vec<String>,
-    /// share of the requests that is to be in time, above 0 and below 1
+    /// share of requests that must be in time; above 0 and below 1
     #[argh(option, default = "0.95")]
     objective_share: f64,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "String::from(\"text\")")]
     format: String,
 }
@@ -29,7 +29,7 @@
     pub async fn run(self) -> Result<(), Failure> {
         if self.metrics.is_empty() {
             return Err(Failure::BadInput(
-                "--metrics: name at least one node".to_owned(),
+                "--metrics: pass the address of at least one node".to_owned(),
             ));
         }
         if !(self.objective_share > 0.0 && self.objective_share < 1.0) {
@@ -42,7 +42,7 @@
             .build()?;
         let (mut pages, mut missing) = (Vec::new(), Vec::new());
         for address in &self.metrics {
-            match page(&client, address).await {
+            match fetch_metrics_page(&client, address).await {
                 Ok(page) => pages.push(page),
                 Err(error) => missing.push(format!("{address}: {error}")),
             }
@@ -60,7 +60,10 @@
     }
 }
 
-async fn page(client: &reqwest::Client, address: &str) -> Result<String, reqwest::Error> {
+async fn fetch_metrics_page(
+    client: &reqwest::Client,
+    address: &str,
+) -> Result<String, reqwest::Error> {
     let response = client
         .get(format!("http://{address}/metrics"))
         .send()
--- a/src/cli/experiment.rs
+++ b/src/cli/experiment.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep experiment`: the scheduling policy in virtual time, beside baselines.
+//! `dragonflystep experiment`: compares the scheduling policy with baseline policies in virtual time.
 
 use {
     super::{Failure, output},
@@ -7,23 +7,23 @@
     std::path::PathBuf,
 };
 
-/// Plays a scenario in virtual time and prints the figures of each policy.
+/// Simulates a scenario in virtual time and prints the results of each policy.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "experiment")]
 pub struct ExperimentCommand {
-    /// scenario file, JSON
+    /// scenario file in JSON
     #[argh(option)]
     scenario: PathBuf,
-    /// seed; name it again for each further one; 1, 2 and 3 when missing
+    /// seed; repeat for several seeds; default: 1, 2 and 3
     #[argh(option)]
     seed: Vec<u64>,
-    /// policy; name it again for each further one; all when missing
+    /// policy; repeat for several policies; default: all policies
     #[argh(option)]
     policy: Vec<String>,
-    /// how long callers send, in seconds; the scenario's own time when missing
+    /// time for which callers send requests, in seconds; default: the time in the scenario
     #[argh(option)]
     seconds: Option<f64>,
-    /// threads
+    /// number of threads
     #[argh(option, default = "1")]
     threads: usize,
     /// print JSON instead of a table
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep explain`: collects all log lines of one request from several nodes, in order of time.
+//! `dragonflystep explain`: collects the log lines of one request from several nodes, sorted by time.
 
 use {
     super::{Failure, output},
@@ -7,20 +7,20 @@
     std::path::PathBuf,
 };
 
-/// Prints what the logs of several nodes say of one request, in order of time, with the last change of
-/// each node's beliefs before it.
+/// Prints the log lines of one request from several nodes, sorted by time. Before them it prints the latest changes
+/// in what each of these nodes knew about the system when the request arrived.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
     /// id of the request
     #[argh(option)]
     request: String,
-    /// log files of nodes; lines that are not JSON are passed over
+    /// log files of nodes; lines without a JSON object are skipped
     #[argh(positional)]
     files: Vec<PathBuf>,
 }
 
-/// Messages that tell what an upstream said of itself, and of what.
+/// Log messages about notices that upstreams gave about themselves, each with the topic of the notice.
 const NOTICES: [(&str, &str); 4] = [
     ("upstream limits its rate", "rate"),
     ("upstream no longer limits its rate", "rate"),
@@ -28,8 +28,8 @@
     ("upstream wants rest", "rest"),
 ];
 
-/// Messages that tell a change of what a node believes.
-const BELIEFS: [&str; 5] = [
+/// Log messages that record a change of what a node knows about the system.
+const STATE_MESSAGES: [&str; 5] = [
     "catalogue in force",
     "registry in force",
     "majority changed",
@@ -45,21 +45,21 @@
                 .map_err(|error| Failure::BadInput(format!("{}: {error}", path.display())))?;
             lines.extend(text.lines().filter_map(parse_line));
         }
-        let story = explain(&self.request, lines);
-        if story.is_empty() {
+        let selected = explain(&self.request, lines);
+        if selected.is_empty() {
             return Err(Failure::BadInput(format!(
-                "no log line names request {}",
+                "no log line contains the request {}",
                 self.request
             )));
         }
-        for line in story {
+        for line in selected {
             output::text(&line.to_string());
         }
         Ok(())
     }
 }
 
-/// A JSON object of a line; a platform may have put words before it.
+/// Parses the JSON object of a log line, in front of which a platform may have put other text.
 fn parse_line(line: &str) -> Option<Value> {
     let json = &line[line.find('{')?..];
     serde_json::from_str(json).ok()
@@ -69,16 +69,18 @@
     line["time_ms"].as_u64().unwrap_or(0)
 }
 
-/// What a line tells a belief of; a later one of the same subject replaces it.
-fn belief_subject(line: &Value) -> Option<(&str, &str)> {
+/// Returns the subject of a log line that records a state change: the topic and the upstream of a notice, or the
+/// message alone. A later line of the same node and subject replaces the earlier one.
+fn state_subject(line: &Value) -> Option<(&str, &str)> {
     let message = line["message"].as_str()?;
     if let Some((_, topic)) = NOTICES.iter().find(|(notice, _)| *notice == message) {
         return Some((topic, line["upstream"].as_str()?));
     }
-    BELIEFS.contains(&message).then_some((message, ""))
+    STATE_MESSAGES.contains(&message).then_some((message, ""))
 }
 
-/// Lines of the request, and before them the last belief of each kind of the nodes that saw it.
+/// Returns the lines of the request, preceded by state changes logged before the first of these lines: the latest one
+/// for each subject and each node that handled the request.
 fn explain(request: &str, mut lines: Vec<Value>) -> Vec<Value> {
     lines.sort_by_key(time_ms);
     let of_request = |line: &Value| line["request"].as_str() == Some(request);
@@ -90,19 +92,23 @@
         .filter(|line| of_request(line))
         .map(|line| &line["node"])
         .collect();
-    let mut beliefs: Vec<&Value> = Vec::new();
+    let mut state_changes: Vec<&Value> = Vec::new();
     for line in lines[..first].iter().rev() {
-        let Some(subject) = belief_subject(line) else {
+        let Some(subject) = state_subject(line) else {
             continue;
         };
-        let is_known = beliefs
+        let is_replaced = state_changes
             .iter()
-            .any(|known| known["node"] == line["node"] && belief_subject(known) == Some(subject));
-        if nodes.contains(&&line["node"]) && !is_known {
-            beliefs.push(line);
+            .any(|later| later["node"] == line["node"] && state_subject(later) == Some(subject));
+        if nodes.contains(&&line["node"]) && !is_replaced {
+            state_changes.push(line);
         }
     }
-    beliefs.reverse();
-    let own = lines.iter().filter(|line| of_request(line));
-    beliefs.into_iter().chain(own).cloned().collect()
+    state_changes.reverse();
+    let request_lines = lines.iter().filter(|line| of_request(line));
+    state_changes
+        .into_iter()
+        .chain(request_lines)
+        .cloned()
+        .collect()
 }
--- a/src/cli/fake.rs
+++ b/src/cli/fake.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep fake`: the stand-ins as processes of their own, so that tests can end and freeze them.
+//! `dragonflystep fake`: runs a stand-in as a process of its own, so that tests can kill and freeze it.
 
 use {
     super::{Failure, output},
@@ -12,7 +12,7 @@
     std::{future, net::SocketAddr, time::Duration},
 };
 
-/// Runs a stand-in for an outside system, for trials and tests only.
+/// Runs a stand-in for an external system; for trials and tests only.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "fake")]
 pub struct FakeCommand {
@@ -28,53 +28,53 @@
     Service(Service),
 }
 
-/// A model engine.
+/// Runs a stand-in for a model engine.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "engine")]
 struct Engine {
-    /// address to listen on; port 0 takes a free one
+    /// address to listen on; port 0 selects a free port
     #[argh(option, default = "loopback()")]
     listen: SocketAddr,
-    /// prompt tokens computed in a second
+    /// prompt tokens computed per second
     #[argh(option, default = "20000.0")]
     prefill_tokens_per_s: f64,
-    /// milliseconds of a decode step
+    /// duration of a decode step, in milliseconds
     #[argh(option, default = "10")]
     decode_step_ms: u64,
-    /// streams that run at once
+    /// maximum number of streams that run at once
     #[argh(option, default = "16")]
     max_batch: u32,
-    /// blocks of 64 tokens in the prefix cache
+    /// size of the prefix cache, in blocks of 64 tokens
     #[argh(option, default = "4096")]
     cache_blocks: u32,
-    /// accept orders with an old fencing number
+    /// accept dispatches with an outdated fencing number
     #[argh(switch)]
     ignores_fencing: bool,
 }
 
-/// The platform: table service, object store and VM list.
+/// Runs a stand-in for the platform: table service, object store and VM list.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "platform")]
 struct Platform {
-    /// address to listen on; port 0 takes a free one
+    /// address to listen on; port 0 selects a free port
     #[argh(option, default = "loopback()")]
     listen: SocketAddr,
-    /// key that nodes have to show
+    /// key with which nodes have to authenticate
     #[argh(option)]
     key: String,
 }
 
-/// A plain service.
+/// Runs a stand-in for a plain service.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "service")]
 struct Service {
-    /// address to listen on; port 0 takes a free one
+    /// address to listen on; port 0 selects a free port
     #[argh(option, default = "loopback()")]
     listen: SocketAddr,
-    /// milliseconds between the effect of a call and its answer
+    /// time between the effect of a call and its answer, in milliseconds
     #[argh(option, default = "20")]
     latency_ms: u64,
-    /// answer 404 where the load is asked for
+    /// answer requests for the load with status 404
     #[argh(switch)]
     no_load_reports: bool,
 }
@@ -105,14 +105,14 @@
         });
         settings.checks_fencing = !self.ignores_fencing;
         let engine = EngineFake::start(self.listen, settings).await?;
-        serve_until_ended(engine.address(), engine.control_address()).await
+        serve_until_terminated(engine.address(), engine.control_address()).await
     }
 }
 
 impl Platform {
     async fn run(self) -> Result<(), Failure> {
         let platform = PlatformFake::start(self.listen, &self.key).await?;
-        serve_until_ended(platform.address(), platform.address()).await
+        serve_until_terminated(platform.address(), platform.address()).await
     }
 }
 
@@ -124,14 +124,14 @@
             ..ServiceFakeSettings::default()
         };
         let service = ServiceFake::start(self.listen, settings).await?;
-        serve_until_ended(service.address(), service.control_address()).await
+        serve_until_terminated(service.address(), service.control_address()).await
     }
 }
 
-/// Tells its addresses on standard output, then runs until the process is ended.
+/// Prints both addresses on standard output, then runs until the process is terminated.
 ///
-/// Faults are ordered and records read at the second one, which no fault reaches.
-async fn serve_until_ended(address: SocketAddr, control: SocketAddr) -> Result<(), Failure> {
+/// The control address injects faults and serves the records; injected faults do not affect it.
+async fn serve_until_terminated(address: SocketAddr, control: SocketAddr) -> Result<(), Failure> {
     output::text(&format!("listening on {address}\ncontrol on {control}"));
     future::pending().await
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command command_line: parses the arguments, runs the command and maps its result to an exit code.
 
 mod admin_client;
 mod catalogue;
@@ -21,9 +21,9 @@
     std::{fmt, future::Future, process::ExitCode},
 };
 
-/// Exit code for input that was checked and found wrong; nothing was started or changed.
+/// Exit code for invalid input; nothing was started or changed.
 const EXIT_BAD_INPUT: u8 = 2;
-/// Exit code for everything else that went wrong.
+/// Exit code for every other failure.
 const EXIT_FAILED: u8 = 1;
 
 /// Schedules requests to model upstreams that differ in speed and change without notice.
@@ -51,9 +51,9 @@
 /// Why a command ended without success.
 #[derive(Debug)]
 enum Failure {
-    /// The input is wrong; each fault with its path.
+    /// The input is invalid; the text lists the faults.
     BadInput(String),
-    /// Anything else.
+    /// Any other error.
     Failed(eyre::Report),
 }
 
@@ -72,19 +72,19 @@
     }
 }
 
-/// Reads the command line and runs the command.
+/// Parses the command line and runs the command.
 pub fn run() -> ExitCode {
-    let line: CommandLine = argh::from_env();
-    let result = match line.command {
+    let command_line: CommandLine = argh::from_env();
+    let result = match command_line.command {
         Command::Edge(command) => command.run(),
-        Command::Node(command) => on_runtime(command.run()),
+        Command::Node(command) => block_on_runtime(command.run()),
         Command::Check(command) => command.run(),
-        Command::Catalogue(command) => on_runtime(command.run()),
-        Command::Report(command) => on_runtime(command.run()),
-        Command::Demo(command) => on_runtime(command.run()),
+        Command::Catalogue(command) => block_on_runtime(command.run()),
+        Command::Report(command) => block_on_runtime(command.run()),
+        Command::Demo(command) => block_on_runtime(command.run()),
         Command::Experiment(command) => command.run(),
         Command::Explain(command) => command.run(),
-        Command::Fake(command) => on_runtime(command.run()),
+        Command::Fake(command) => block_on_runtime(command.run()),
         Command::Soak(command) => command.run(),
     };
     match result {
@@ -100,9 +100,10 @@
     }
 }
 
-fn on_runtime(work: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
+/// Runs a command to its end on a multi-threaded Tokio runtime.
+fn block_on_runtime(command: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?
-        .block_on(work)
+        .block_on(command)
 }
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep node`: runs one node until it is asked to stop.
+//! `dragonflystep node`: runs one node until it is signalled to stop.
 
 use {
     super::{Failure, check::read_settings},
@@ -14,11 +14,11 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// Runs one node until SIGTERM or SIGINT; a planned stop cuts off no request.
+/// Runs one node until SIGTERM or SIGINT, which stop it without cutting off requests.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "node")]
 pub struct NodeCommand {
-    /// settings file, JSON
+    /// settings file in JSON
     #[argh(option)]
     settings: PathBuf,
 }
@@ -31,7 +31,7 @@
         let mut interrupt = signal(SignalKind::interrupt())?;
         let node = Node::start(&settings).await?;
         let stopper = node.stopper();
-        let listener = tokio::spawn(async move {
+        let signal_task = tokio::spawn(async move {
             tokio::select! {
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
@@ -40,7 +40,7 @@
             stopper.stop();
         });
         node.wait().await;
-        listener.abort();
+        signal_task.abort();
         log::info!("node ended");
         Ok(())
     }
--- a/src/cli/report.rs
+++ b/src/cli/report.rs
@@ -1,4 +1,4 @@
-//! `dragonflystep report`: how fast each tier spends its error budget.
+//! `dragonflystep report`: reports how fast nodes spend their error budgets.
 
 use {
     super::{Failure, admin_client::AdminClient, output},
@@ -12,7 +12,7 @@
     },
 };
 
-/// Reports from the nodes' own counts.
+/// Reports how fast the error budgets are spent, from the counts that the nodes keep.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "report")]
 pub struct ReportCommand {
@@ -27,28 +27,28 @@
     Edge(super::edge_report::EdgeBurn),
 }
 
-/// Service-level burn by service and tier over all nodes.
+/// Reports the error budget burn of each service and tier over all nodes.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "burn")]
 struct Burn {
-    /// administration address of a node, IP number and port; name all nodes
+    /// administration address of a node, as IP:PORT; repeat for every node
     #[argh(option)]
     admin: Vec<String>,
-    /// text, json or page
+    /// output format: text, json or page
     #[argh(option, default = "String::from(\"text\")")]
     format: String,
-    /// file to write; standard output when missing
+    /// file to write; default: standard output
     #[argh(option)]
     output: Option<PathBuf>,
 }
 
-/// The nodes that a node knows, as it shows them.
+/// The part of the `/admin/status` answer that lists the nodes which the node knows.
 #[derive(Deserialize)]
 struct KnownNodes {
     nodes: Vec<KnownNode>,
 }
 
-/// One of them.
+/// A node in the `/admin/status` answer.
 #[derive(Deserialize)]
 struct KnownNode {
     node: String,
@@ -67,7 +67,7 @@
     async fn run(self) -> Result<(), Failure> {
         if self.admin.is_empty() {
             return Err(Failure::BadInput(
-                "report burn: name each node with --admin".to_owned(),
+                "report burn: pass the address of each node with --admin".to_owned(),
             ));
         }
         let report = self.collect().await?;
@@ -79,7 +79,8 @@
         Ok(())
     }
 
-    /// Asks each node; one that does not answer, or that only the others know, is named in the report.
+    /// Collects the reports of the given nodes. The result lists as missing each node that did not answer, and each
+    /// node that only other nodes know.
     async fn collect(&self) -> Result<BurnReport, Failure> {
         let mut reports: Vec<NodeReport> = Vec::new();
         let mut expected = BTreeSet::new();
@@ -109,7 +110,7 @@
             "json" => Ok(serde_json::to_string_pretty(report)?),
             "page" => Ok(page::render(report)?),
             other => Err(Failure::BadInput(format!(
-                "report burn: no format {other}; text, json or page"
+                "report burn: unknown format {other}, use text, json or page"
             ))),
         }
     }
--- a/src/cli/soak.rs
+++ b/src/cli/soak.rs
@@ -1,15 +1,16 @@
-//! `dragonflystep soak`: edge nodes as processes under randomized faults; what callers and workers see is checked.
+//! `dragonflystep soak`: runs edge nodes as processes under randomized faults, and checks what callers and upstreams
+//! observe.
 
 use {super::Failure, super::output, argh::FromArgs, dragonflystep_soak::run_seed};
 
-/// Runs edge nodes as processes under faults drawn from seeds, and checks what callers and workers see.
+/// Runs edge nodes as processes under faults drawn from seeds, and checks what callers and upstreams observe.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "soak")]
 pub struct SoakCommand {
     /// first seed
     #[argh(option, default = "1")]
     seed: u64,
-    /// seeds to run, one after the other
+    /// number of seeds to run, one after the other
     #[argh(option, default = "1")]
     count: u64,
 }
@@ -17,7 +18,7 @@
 impl SoakCommand {
     pub fn run(self) -> Result<(), Failure> {
         let binary = std::env::current_exe()?;
-        let mut broken = 0;
+        let mut failed_seeds = 0;
         for seed in self.seed..self.seed + self.count {
             let report = run_seed(&binary, seed)?;
             let count = report.violations.len();
@@ -30,11 +31,13 @@
             }
             if let Some(logs) = &report.logs {
                 output::text(&format!("  logs: {}", logs.display()));
-                broken += 1;
+                failed_seeds += 1;
             }
         }
-        if broken > 0 {
-            return Err(eyre::eyre!("{broken} of {} seeds broke a promise", self.count).into());
+        if failed_seeds > 0 {
+            return Err(
+                eyre::eyre!("{failed_seeds} of {} seeds broke a promise", self.count).into(),
+            );
         }
         Ok(())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! dragonflystep: a request scheduler for model upstreams that differ in speed and change without notice.
 //!
-//! This crate only gathers the parts; each lives in a crate of its own below `crates/`.
+//! This crate only re-exports the parts of the scheduler; each part is a crate of its own below `crates/`.
 
 pub use {
     dragonflystep_config as config, dragonflystep_core as core,
