--- a/crates/dragonflystep_core/src/broker/adaptive_limit.rs
+++ b/crates/dragonflystep_core/src/broker/adaptive_limit.rs
@@ -1,24 +1,24 @@
-//! How many requests an upstream runs well, below the catalogue's limit.
+//! Adaptive concurrency limit of one upstream, at or below the catalogue's limit.
 //!
-//! Additive increase, multiplicative decrease: the engine's own queue stays empty and the gap between
-//! tokens stays within what the tier promises, since the engine knows no priorities.
+//! The limit follows additive increase, multiplicative decrease (AIMD). Engines know no priorities, so the limit
+//! keeps the engine's own queue empty and the gap between tokens within what the tier promises.
 
 use std::time::Duration;
 
-/// Factor after a report that requests stood in the engine's own queue.
+/// Factor that the limit is multiplied by after a load report that shows requests in the engine's own queue.
 pub const AFTER_ENGINE_QUEUE: f64 = 0.85;
-/// Factor after a stream whose tokens came too slowly.
+/// Factor that the limit is multiplied by after a stream whose token gap was too long.
 pub const AFTER_SLOW_STREAM: f64 = 0.93;
-/// How much slower than promised tokens may come.
+/// Factor by which a token gap may exceed the promised gap before the limit decreases.
 const GAP_TOLERANCE: f64 = 1.1;
-/// How much slower than ever tokens may come, where the promise is out of reach for the upstream.
+/// Factor by which a token gap may exceed the upstream's best gap, if the upstream cannot reach the promised gap.
 const REACHABLE_GAP: f64 = 1.5;
-/// How fast the best gap is forgotten, so that it follows an upstream that was changed.
+/// Growth of the remembered best gap per sample, so that it adapts when the upstream changes.
 const GAP_FORGETTING: f64 = 1.002;
-/// Least time between two decreases, so that one cause counts once.
+/// Minimum time between two decreases, so that one cause reduces the limit only once.
 const COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Limit of one upstream.
+/// Current concurrency limit of one upstream, with the state that its adjustment needs.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveLimit {
     ceiling: u32,
@@ -28,7 +28,7 @@
 }
 
 impl AdaptiveLimit {
-    /// Starts at the catalogue's limit.
+    /// Creates a limit that starts at the catalogue's limit, `ceiling`.
     pub fn new(ceiling: u32) -> Self {
         Self {
             ceiling,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes over a new limit of the catalogue.
+    /// Applies a changed catalogue limit; a limit that was at the old ceiling moves to the new one.
     pub fn set_ceiling(&mut self, ceiling: u32) {
         let was_at_ceiling = self.limit >= f64::from(self.ceiling);
         self.ceiling = ceiling;
@@ -48,7 +48,7 @@
         self.limit = self.limit.min(f64::from(ceiling));
     }
 
-    /// Requests that may run.
+    /// Number of requests that may run at the same time, at least 1 unless the ceiling is 0.
     ///
     /// # Examples
     /// ```
@@ -62,21 +62,21 @@
         (self.limit as u32).max(1).min(self.ceiling)
     }
 
-    /// The catalogue's limit.
+    /// The catalogue's limit, which the adaptive limit never exceeds.
     pub fn ceiling(&self) -> u32 {
         self.ceiling
     }
 
-    /// A stream went well while `running` requests ran.
+    /// Raises the limit after a stream that met its objective while `running` requests ran.
     pub fn increase(&mut self, running: u32) {
         if running + 1 < self.requests() {
-            // A limit that is not reached is not tested either.
+            // Too few requests ran to show whether the upstream could take more than the limit.
             return;
         }
         self.limit = (self.limit + 1.0 / self.limit.max(1.0)).min(f64::from(self.ceiling));
     }
 
-    /// The upstream had too much at `sampled_at`.
+    /// Multiplies the limit by `factor` because the upstream was overloaded at `sampled_at`.
     pub fn decrease(&mut self, sampled_at: Duration, factor: f64) {
         if self
             .decreased_at
@@ -88,7 +88,9 @@
         self.limit = (self.limit * factor).max(1.0);
     }
 
-    /// A stream of the tier that promises `promised` had this mean gap while `running` others ran.
+    /// Adjusts the limit by the mean token gap of an ended stream, whose tier promises a gap of `promised`.
+    ///
+    /// `running` is the number of requests in the upstream's slots at that time.
     pub fn gap_measured(
         &mut self,
         now: Duration,
@@ -99,7 +101,7 @@
         let best = self.best_gap_seconds.unwrap_or(gap_seconds) * GAP_FORGETTING;
         let best = best.min(gap_seconds);
         self.best_gap_seconds = Some(best);
-        // Fewer streams can't mend what is slow by itself.
+        // A lower limit does not help an upstream that is slow even with few streams.
         let reachable = promised.map(|promise| {
             let promise_seconds = promise.as_secs_f64() * GAP_TOLERANCE;
             promise_seconds.max(best * REACHABLE_GAP)
--- a/crates/dragonflystep_core/src/broker/choice.rs
+++ b/crates/dragonflystep_core/src/broker/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream: the least predicted time to finish among those with room.
+//! Selection of an upstream: the shortest predicted completion time among those with free capacity.
 
 use {
     super::{
@@ -10,29 +10,30 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How much a second of prefill weighs against a second of waiting or decoding: prefill that is repeated is
-/// lost to everybody, while decoding is shared by the whole batch.
+/// Weight of a second of prefill relative to a second of waiting or decoding. Repeated prefill is wasted engine
+/// time, while decode time is shared by the whole batch.
 const PREFILL_WEIGHT: f64 = 8.0;
-/// Prompts that an engine may have before it, in time; a longer line would stand in the engine, which
-/// knows no priorities.
+/// Longest prefill backlog at which an engine still gets new requests. With more, prompts would queue inside the
+/// engine, which knows no priorities.
 pub const PREFILL_AHEAD: Duration = Duration::from_millis(500);
-/// How much slower tokens come on a full upstream than on an empty one, as a share.
+/// Relative slowdown of decoding on a full upstream compared with an empty one.
 const FULL_SLOWDOWN: f64 = 0.5;
-/// Finish times that differ by less than this share count as equal, so that brokers do not herd.
+/// Relative difference below which two scores count as equal, so that brokers do not all pick the same upstream.
 const TIE_SHARE: f64 = 0.05;
-/// Slowness above which an upstream is used only when no other has room.
+/// Slowness from which an upstream counts as a straggler, used only when no other has capacity.
 const STRAGGLER_SLOWNESS: f64 = 4.0;
 
-/// Room of an upstream as one ask sees it.
+/// Free capacity of an upstream for one ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
-    /// Requests that may be added.
+    /// Number of further requests that the upstream may run.
     pub requests: u32,
-    /// Tokens that may be added; none for no limit.
+    /// Number of further tokens that the upstream may hold; `None` if it has no token limit.
     pub tokens: Option<u64>,
 }
 
-/// Room of an upstream besides what is granted and what may run unseen.
+/// Computes the free capacity of an upstream: its limits minus its slots and minus the streams without a slot that
+/// may still run there.
 pub fn room(model: &UpstreamModel, usage: Usage, policy: &PolicyParts) -> Room {
     let Some(unexplained) = model.unexplained else {
         return Room {
@@ -43,54 +44,54 @@
     let taken = usage.running.saturating_add(unexplained);
     let requests = model.running_limit(policy).saturating_sub(taken);
     let tokens = model.entry.limits.held_tokens.map(|limit| {
-        // Nobody knows how much an unseen stream holds.
+        // The token count of a stream without a slot is unknown, so it is assumed to use the whole limit.
         let hidden = if unexplained > 0 { limit } else { 0 };
         limit.saturating_sub(usage.held_tokens + hidden)
     });
     Room { requests, tokens }
 }
 
-/// Tokens that an ask may come to hold.
+/// Tokens that the ask's stream may hold at most: its prompt and its longest answer.
 pub fn held_tokens(ask: &Ask) -> u64 {
     u64::from(ask.prompt_tokens) + u64::from(ask.output_tokens)
 }
 
-/// An upstream that can take an ask now.
+/// An upstream considered for an ask, with its predicted times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// Tokens of the prompt that it is thought to hold.
+    /// Prompt tokens that the upstream has cached, by the broker's model of its prefix cache.
     pub cached_tokens: u32,
-    /// Predicted time to finish, as it is weighed.
+    /// Weighted completion time that candidates are compared by: prefill counts more than waiting and decoding.
     pub score_seconds: f64,
-    /// Predicted time to finish.
+    /// Predicted time until the request completes, in seconds.
     pub finish_seconds: f64,
-    /// Time that its prompt is thought to take.
+    /// Predicted time to compute the prompt, in seconds.
     pub prefill_seconds: f64,
-    /// Time that the upstream is thought to need for prompts before it.
+    /// Predicted time until the upstream has computed the prompts granted earlier, in seconds.
     pub backlog_seconds: f64,
-    /// Whether it turned so slow that it is the last resort.
+    /// Whether the upstream is so slow that it is used only when no other candidate exists.
     pub straggler: bool,
 }
 
-/// What a choice looks at.
+/// Borrowed state of a group that the selection of an upstream reads.
 #[derive(Debug)]
 pub struct Chooser<'a> {
-    /// What kind of service it is.
+    /// Kind of the group's service.
     pub kind: ServiceKind,
-    /// Upstreams of the group.
+    /// Models of the group's upstreams.
     pub upstreams: &'a BTreeMap<UpstreamId, UpstreamModel>,
-    /// Slots of the group.
+    /// Slots of the group, from which each upstream's usage is known.
     pub slots: &'a SlotTable,
-    /// Parts of the policy.
+    /// Switches that turn single parts of the scheduling policy on or off.
     pub policy: &'a PolicyParts,
-    /// Time of the event.
+    /// Time of the event that is being handled.
     pub now: Duration,
 }
 
 impl Chooser<'_> {
-    /// Whether an upstream has room for an ask; `alone` when it must be empty for it.
+    /// Whether an upstream has capacity for an ask. With `alone`, the upstream must also be empty.
     pub fn has_room(&self, model: &UpstreamModel, key: &AskKey, ask: &Ask, alone: bool) -> bool {
         let usage = self.slots.usage(&model.entry.id);
         let reserved = model.reserved_for.as_ref();
@@ -107,12 +108,12 @@
         room.requests > 0 && room.tokens.is_none_or(|tokens| tokens >= held_tokens(ask))
     }
 
-    /// Whether an engine has prompts for some time, so that a further one would stand in its own queue.
+    /// Whether the engine's prefill backlog is so long that a further prompt would queue inside the engine.
     pub fn is_prefilling(&self, model: &UpstreamModel) -> bool {
         self.policy.adaptive_limit && self.prefill_backlog(model) > PREFILL_AHEAD.as_secs_f64()
     }
 
-    /// What an upstream promises for an ask, whether it has room or not.
+    /// Predicts the times of an ask on an upstream, whether or not the upstream has capacity for it.
     pub fn candidate(&self, model: &UpstreamModel, ask: &Ask) -> Candidate {
         let cached_tokens = self.cached_tokens(model, ask);
         let trusted = f64::from(cached_tokens) * model.cache.trust();
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Time that a request takes on an upstream that runs nothing else, when its answer has this share
-    /// of the usual length.
+    /// Predicted seconds for a request on an otherwise idle upstream, with an answer of `answer_share` times the usual
+    /// length.
     pub fn service_seconds(&self, model: &UpstreamModel, ask: &Ask, answer_share: f64) -> f64 {
         let cached = f64::from(self.cached_tokens(model, ask));
         let computed = f64::from(ask.prompt_tokens) - cached;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The best candidate; equal ones are drawn by lot.
+    /// Picks the candidate with the lowest score; ties are broken by more cached tokens, then at random.
     pub fn choose(&self, candidates: Vec<Candidate>, random: &mut SmallRng) -> Option<Candidate> {
         let healthy = candidates.iter().any(|each| !each.straggler);
         let eligible: Vec<Candidate> = candidates
@@ -168,7 +169,7 @@
             .into_iter()
             .filter(|each| each.score_seconds <= best * (1.0 + TIE_SHARE))
             .collect();
-        // At the same speed, the prefill that is saved decides.
+        // Among equally fast candidates, the one that needs the least prefill is preferred.
         let most_cached = equal.iter().map(|each| each.cached_tokens).max()?;
         equal.retain(|each| each.cached_tokens == most_cached);
         let drawn = random.random_range(0..equal.len());
@@ -184,7 +185,7 @@
             .cached_tokens(&ask.prefix_blocks, ask.prompt_tokens)
     }
 
-    /// Time for the prompts that were granted there and have not shown a token yet.
+    /// Seconds that the upstream still needs for granted prompts without a first token.
     pub fn prefill_backlog(&self, model: &UpstreamModel) -> f64 {
         if self.kind == ServiceKind::Plain {
             return 0.0;
@@ -194,7 +195,7 @@
             return 0.0;
         }
         let left = model.prefill_until.saturating_sub(self.now);
-        // The time that has passed and the tokens that were seen each show prompts that are done.
+        // Elapsed time and received first tokens both indicate finished prefill, so the smaller remainder counts.
         left.as_secs_f64().min(usage.prefill_seconds.max(0.0))
     }
 }
--- a/crates/dragonflystep_core/src/broker/directory.rs
+++ b/crates/dragonflystep_core/src/broker/directory.rs
@@ -1,4 +1,4 @@
-//! Which groups a service has, and which upstreams a group has, worked out once for each catalogue version.
+//! Index of the catalogue by service and by group, rebuilt once per catalogue version.
 
 use {
     crate::{
@@ -8,7 +8,7 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// Index over the catalogue, so that a decision never walks all upstreams.
+/// Index over the catalogue, so that a scheduling decision does not iterate over all upstreams.
 #[derive(Debug, Default)]
 pub struct Directory {
     version: CatalogueVersion,
@@ -18,7 +18,7 @@
 }
 
 impl Directory {
-    /// Works the index out anew when the catalogue changed.
+    /// Rebuilds the index if the catalogue has changed.
     pub fn refresh(&mut self, catalogue: &Catalogue) {
         if self.version == catalogue.version && !self.upstreams_of_group.is_empty() {
             return;
@@ -48,27 +48,27 @@
             .push(upstream.clone());
     }
 
-    /// Groups of a service.
+    /// Ids of the groups of a service; empty for an unknown service.
     pub fn groups(&self, service: &str) -> &[GroupId] {
         self.groups_of_service.get(service).map_or(&[], |all| all)
     }
 
-    /// Upstreams of a group.
+    /// Catalogue entries of a group's upstreams; empty for an unknown group.
     pub fn upstreams(&self, group: &str) -> &[Arc<Upstream>] {
         self.upstreams_of_group.get(group).map_or(&[], |all| all)
     }
 
-    /// Upstream of a group by its name.
+    /// Catalogue entry of the group's upstream with this id.
     pub fn upstream(&self, group: &str, id: &UpstreamId) -> Option<&Arc<Upstream>> {
         self.upstreams(group).iter().find(|each| each.id == *id)
     }
 
-    /// Longest mean time between tokens that the tier promises.
+    /// Longest mean time between tokens that the tier promises; `None` for an unknown tier.
     pub fn token_gap(&self, tier: Tier) -> Option<Duration> {
         self.token_gap_of_tier.get(&tier).copied()
     }
 
-    /// Highest rank number among the tiers.
+    /// Rank of the least urgent tier, which is the highest rank number; 0 without tiers.
     pub fn lowest_tier(&self) -> Tier {
         self.token_gap_of_tier
             .keys()
--- a/crates/dragonflystep_core/src/broker/fairness.rs
+++ b/crates/dragonflystep_core/src/broker/fairness.rs
@@ -1,23 +1,23 @@
-//! Fair shares of one tier among client accounts, by cost and not by count.
+//! Fair sharing of one tier among client accounts, measured by cost instead of request count.
 //!
-//! Start-time fair queueing: each account has a tag that grows by cost over weight with what it is
-//! served; the account with the least tag is next. Only accounts with queued asks are ordered, so
-//! that a decision costs the same with five accounts as with twenty thousand known ones.
+//! Start-time fair queueing: each account has a virtual-time tag, which grows by cost divided by weight whenever the
+//! account is served; the account with the smallest tag is next. Only accounts with queued asks are kept in order,
+//! so a decision costs the same with five accounts as with twenty thousand known ones.
 
 use {
     crate::ids::AccountId,
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Most accounts without queued asks whose tag is remembered.
+/// Maximum number of accounts without queued asks whose tag is kept.
 const RESTING_MEMORY: usize = 1024;
-/// Units of virtual time for a second of cost at weight 1.
+/// Units of virtual time per second of cost at weight 1.
 const UNITS_PER_SECOND: f64 = 1e6;
 
-/// Virtual time, in units of a millionth of a second of cost at weight 1.
+/// Virtual time; one unit is a microsecond of cost at weight 1.
 type VirtualTime = u64;
 
-/// Order of the accounts of one tier.
+/// Order in which the accounts of one tier are served.
 #[derive(Debug, Default)]
 pub struct FairOrder {
     now: VirtualTime,
@@ -27,7 +27,7 @@
 }
 
 impl FairOrder {
-    /// An account has queued asks from now on.
+    /// Adds an account that now has queued asks; its tag is raised to the current virtual time.
     pub fn join(&mut self, account: &AccountId) {
         let tag = self.tag(account);
         self.resting.remove(&(tag, account.clone()));
@@ -36,7 +36,7 @@
         self.waiting.insert((start, account.clone()));
     }
 
-    /// An account has no queued asks any more.
+    /// Removes an account that has no queued asks any more; its tag is kept for a while.
     pub fn leave(&mut self, account: &AccountId) {
         let tag = self.tag(account);
         if !self.waiting.remove(&(tag, account.clone())) {
@@ -46,17 +46,17 @@
         self.forget_rested();
     }
 
-    /// The waiting accounts, the one that is next first.
+    /// Iterates over the accounts with queued asks, starting with the next one to serve.
     pub fn iter(&self) -> impl Iterator<Item = &AccountId> {
         self.waiting.iter().map(|(_, account)| account)
     }
 
-    /// The account that is next.
+    /// The next account to serve.
     pub fn next(&self) -> Option<&AccountId> {
         self.iter().next()
     }
 
-    /// Charges a waiting account for what it is served, in seconds of slot time.
+    /// Charges an account with queued asks for the slot time that it is served, in seconds.
     ///
     /// # Examples
     /// ```
--- a/crates/dragonflystep_core/src/broker/grant.rs
+++ b/crates/dragonflystep_core/src/broker/grant.rs
@@ -1,4 +1,4 @@
-//! Granting: what waits gets what is free.
+//! Grants free slots of a group's upstreams to waiting asks.
 
 use {
     super::{
@@ -22,10 +22,10 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// What is added to a predicted time, so that it has surely come.
+/// Margin added to a predicted time, so that a timer does not fire just before it.
 const WAKE_MARGIN: Duration = Duration::from_millis(1);
 
-/// The incarnation of a node, as far as this node knows it.
+/// The current incarnation of a node in this node's view; `None` if the node is not a known member.
 pub(super) fn incarnation_of(view: &View, node: &NodeId) -> Option<Incarnation> {
     if view.node.id == *node {
         return Some(view.node.incarnation);
@@ -34,14 +34,14 @@
 }
 
 impl Group {
-    /// Whether this node may grant for the group now; asked before every grant.
+    /// Whether this node may grant slots of the group now. Must be checked before every grant.
     pub(super) fn may_grant(&self, context: &Context<'_>) -> bool {
         context.view.granting_epoch(&self.id, context.now) == Some(self.epoch)
             && context.view.catalogue_is_fresh(context.now)
             && !self.takeover.old_grants_live(context.now)
     }
 
-    /// Grants as long as something waits and something is free.
+    /// Grants slots to waiting asks until either the asks or the free slots run out.
     pub(super) fn pump(&mut self, context: &mut Context<'_>, shared: &mut Shared) {
         let floor = shared.floors.floor(&self.service, context.now);
         self.place_suspects(context, shared, floor);
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Takes a waiting ask out of the line that became suspected meanwhile.
+    /// Removes an ask from the normal queue if its request came under suspicion while it waited. Returns whether it
+    /// was removed.
     fn stood_aside(
         &mut self,
         context: &mut Context<'_>,
@@ -100,14 +101,15 @@
         true
     }
 
-    /// Refuses an ask that no upstream can answer in time any more, although one is free.
+    /// Refuses an ask that no upstream can answer before its deadline any more, although one has capacity. Returns
+    /// whether the ask was refused.
     fn gave_up_hopeless(&mut self, context: &mut Context<'_>, key: &AskKey) -> bool {
         let Some(queued) = self.queue.get(key) else {
             return false;
         };
         let time_left = queued.deadline.saturating_sub(context.now);
         let policy = &context.view.tuning.policy;
-        // Prefill that is begun for an answer which comes too late is thrown away.
+        // Prefill for an answer that would come too late is wasted.
         let ask = &queued.ask;
         if !policy.early_refusal || !self.is_unreachable(context.view, ask, time_left, USUAL_ANSWER)
         {
@@ -118,7 +120,7 @@
         true
     }
 
-    /// Grants the first suspect an empty upstream, or keeps one free of new work for it.
+    /// Grants an empty upstream to the first isolated ask, or reserves one for it.
     fn place_suspects(&mut self, context: &mut Context<'_>, shared: &Shared, floor: Tier) {
         for model in self.upstreams.values_mut() {
             model.reserved_for = None;
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Keeps the upstream with the fewest streams free of new work, until it is empty.
+    /// Reserves the upstream with the fewest streams for a suspect ask: it gets no other work until it is empty.
     fn reserve(&mut self, view: &View, key: &AskKey) {
         let emptiest = self
             .working(view)
@@ -160,7 +162,7 @@
         }
     }
 
-    /// The best upstream with room for a waiting ask.
+    /// Selects the best upstream with capacity for a waiting ask; with `alone`, only empty upstreams qualify.
     fn choose(&self, context: &mut Context<'_>, key: &AskKey, alone: bool) -> Option<Candidate> {
         let queued = self.queue.get(key).or_else(|| self.isolation.get(key))?;
         let policy = &context.view.tuning.policy;
@@ -234,7 +236,7 @@
         }
     }
 
-    /// Refuses what waits past its deadline.
+    /// Refuses all waiting asks whose deadline has passed.
     pub(super) fn refuse_passed(&mut self, context: &mut Context<'_>) {
         let mut passed = self.queue.passed(context.now);
         passed.extend(self.isolation.passed(context.now));
@@ -244,7 +246,8 @@
         }
     }
 
-    /// Makes sure that the group is looked at when the next deadline passes or a floor ends.
+    /// Sets the group's timer for the earliest of its next events: the next round, a deadline, the end of a tier floor,
+    /// or the time when an engine's prefill backlog is short enough for a new prompt.
     pub(super) fn arm(&mut self, context: &mut Context<'_>, shared: &Shared) {
         let times: [Option<Duration>; 5] = [
             Some(self.next_round_at),
@@ -258,7 +261,7 @@
         }
     }
 
-    /// When an engine comes to the end of its prompts, while something waits.
+    /// When the first engine's prefill backlog drops to [`PREFILL_AHEAD`]; `None` when no ask is queued.
     fn next_prompt_at(&self, now: Duration) -> Option<Duration> {
         if self.queue.is_empty() {
             return None;
@@ -270,7 +273,7 @@
             .map(|at| at + WAKE_MARGIN)
     }
 
-    /// Whether an upstream of the group takes work.
+    /// Whether an upstream belongs to the group and accepts new work.
     pub(super) fn upstream_takes_work(&self, view: &View, upstream: &UpstreamId) -> bool {
         self.upstreams
             .get(upstream)
--- a/crates/dragonflystep_core/src/broker/group.rs
+++ b/crates/dragonflystep_core/src/broker/group.rs
@@ -1,4 +1,4 @@
-//! State of one group that this node holds, and the life of its asks.
+//! State of one group that this node holds, and the life cycle of the group's asks.
 
 use {
     super::{
@@ -29,10 +29,10 @@
     },
 };
 
-/// How long after twice the predicted wait an entry hears of its ask again.
+/// Time beyond twice the predicted wait after which the entry node gets another `Queued` message for its ask.
 const NEWS_AFTER: Duration = Duration::from_secs(1);
 
-/// One group that this node holds.
+/// Scheduling state of a group whose lease this node holds.
 #[derive(Debug)]
 pub struct Group {
     pub(super) id: GroupId,
@@ -41,8 +41,8 @@
     pub(super) epoch: Epoch,
     pub(super) takeover: Takeover,
     pub(super) slots: SlotTable,
-    /// Slots of a process that has ended or of its successor, which was not known at the grant; the next
-    /// list under that name tells.
+    /// Slots of an entry node that was restarted, where it is not known whether the ended process or its successor has
+    /// the grant. The successor's next `Holding` list tells.
     pub(super) undecided: BTreeSet<SlotKey>,
     pub(super) queue: Queue,
     pub(super) isolation: Isolation,
@@ -57,7 +57,7 @@
 }
 
 impl Group {
-    /// Starts to look after a group that this node took over.
+    /// Creates the state of a group whose lease this node acquired, and starts the takeover.
     pub fn acquired(
         context: &mut Context<'_>,
         shared: &Shared,
@@ -98,7 +98,8 @@
         group
     }
 
-    /// Asks every node that has not told yet what it holds; entries learn of the new holder by it, too.
+    /// Asks each node that has not reported its grants yet to do so; after a takeover, asks all members. The message
+    /// also tells the entry nodes who holds the group now.
     pub(super) fn ask_who_holds(&self, context: &mut Context<'_>) {
         let waiting: Vec<NodeId> = if self.takeover.is_done() {
             let own = context.view.node.id.clone();
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Asks one node what it holds.
+    /// Asks one node to list the grants of the group that it holds.
     pub(super) fn probe_holdings(&self, context: &mut Context<'_>, node: &NodeId) {
         let message = Message::Reregister(Reregister {
             group: self.id.clone(),
@@ -120,7 +121,7 @@
         context.send(node, message);
     }
 
-    /// Gives the group up: what waits is sent to the new holder.
+    /// Gives up the group after its lease was lost: waiting asks are refused with the name of the new holder.
     pub fn lost(mut self, context: &mut Context<'_>) {
         for upstream in self.upstreams.keys() {
             context.effect(Effect::UnwatchUpstream {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Takes an ask in: it is granted, queued or refused.
+    /// Handles an ask of the entry node `from`: grants, queues or refuses it. A repeated ask gets the same answer.
     pub fn asked(
         &mut self,
         context: &mut Context<'_>,
@@ -180,7 +181,8 @@
         self.queue.get(key).is_some() || self.isolation.get(key).is_some()
     }
 
-    /// Refuses an ask that no wait can help.
+    /// Refuses an ask that waiting cannot help: a quarantined request, one that fits no upstream, or one whose deadline
+    /// is unreachable. Returns whether it was refused.
     fn refused_on_sight(
         &mut self,
         context: &mut Context<'_>,
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Tells an entry when its ask is thought to start, and notes when to tell it again.
+    /// Sends the entry node the predicted wait of its ask and schedules the next such message.
     pub(super) fn send_queued(&mut self, context: &mut Context<'_>, key: &AskKey) {
         let Some(queued) = self.queue.get(key).or_else(|| self.isolation.get(key)) else {
             return;
@@ -249,7 +251,8 @@
         self.queue.set_news_at(key, news_at);
     }
 
-    /// Tells entries again whose asks wait longer than predicted, lest they take the broker for dead.
+    /// Repeats the predicted wait for asks that wait longer than predicted, so that their entry nodes do not assume
+    /// that the broker has failed.
     pub(super) fn send_news(&mut self, context: &mut Context<'_>) {
         let mut due = self.queue.news_due(context.now);
         due.extend(self.isolation.keys());
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Takes an ask back.
+    /// Removes an ask that its entry node withdrew, and confirms the withdrawal.
     pub fn withdrawn(
         &mut self,
         context: &mut Context<'_>,
@@ -269,20 +272,20 @@
         let key: AskKey = (from.clone(), name.request, name.asked_at);
         self.take_waiting(&key);
         let answer = Message::Withdrawn(name);
-        // An ask that comes after its own withdrawal must not be granted.
+        // The ask may arrive after its own withdrawal and must not be granted then.
         self.settled.insert(key, answer.clone());
         context.send(from, answer);
         self.pump(context, shared);
     }
 
-    /// Takes a waiting ask out.
+    /// Removes a waiting ask from the queue or from isolation.
     pub(super) fn take_waiting(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         self.queue
             .remove(key)
             .or_else(|| self.isolation.remove(key))
     }
 
-    /// Takes a waiting ask out and refuses it.
+    /// Removes a waiting ask and sends its refusal.
     pub(super) fn refuse_waiting(
         &mut self,
         context: &mut Context<'_>,
@@ -314,7 +317,7 @@
         context.send(&key.0, answer);
     }
 
-    /// Makes sure that the group is looked at no later than `at`.
+    /// Sets the group's round timer to fire at `at`, unless it is already set for that time or earlier.
     pub(super) fn wake(&mut self, context: &mut Context<'_>, at: Duration) {
         if self.armed_at.is_some_and(|armed_at| armed_at <= at) {
             return;
--- a/crates/dragonflystep_core/src/broker/isolation.rs
+++ b/crates/dragonflystep_core/src/broker/isolation.rs
@@ -1,4 +1,4 @@
-//! Asks of suspects, which wait for an upstream of their own.
+//! Asks of requests that are suspected of crashing upstreams. Each waits for an upstream on which it runs alone.
 
 use {
     super::{queue::QueuedAsk, slots::AskKey},
@@ -6,37 +6,37 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Waiting suspects, in the order in which they are tried.
+/// Waiting suspect asks, ordered by tier, then by deadline.
 #[derive(Debug, Default)]
 pub struct Isolation {
     asks: BTreeMap<(Tier, Duration, AskKey), QueuedAsk>,
 }
 
 impl Isolation {
-    /// Adds an ask.
+    /// Adds a suspect ask.
     pub fn push(&mut self, queued: QueuedAsk) {
         let place = (queued.ask.tier, queued.deadline, queued.key.clone());
         self.asks.insert(place, queued);
     }
 
-    /// The one to try first.
+    /// The most urgent suspect ask.
     pub fn first(&self) -> Option<&QueuedAsk> {
         self.asks.values().next()
     }
 
-    /// A waiting suspect; there are few of them.
+    /// Finds a suspect ask by a linear search, since there are few.
     pub fn get(&self, key: &AskKey) -> Option<&QueuedAsk> {
         self.asks.values().find(|queued| queued.key == *key)
     }
 
-    /// Takes an ask out.
+    /// Removes a suspect ask.
     pub fn remove(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.get(key)?;
         let place = (queued.ask.tier, queued.deadline, queued.key.clone());
         self.asks.remove(&place)
     }
 
-    /// All waiting suspects.
+    /// Keys of all suspect asks, most urgent first.
     pub fn keys(&self) -> Vec<AskKey> {
         self.asks
             .values()
@@ -44,7 +44,7 @@
             .collect()
     }
 
-    /// Asks whose deadline is at or before `now`.
+    /// Keys of the asks whose deadline is at or before `now`.
     pub fn passed(&self, now: Duration) -> Vec<AskKey> {
         self.asks
             .values()
@@ -53,12 +53,12 @@
             .collect()
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline of any suspect ask.
     pub fn earliest_deadline(&self) -> Option<Duration> {
         self.asks.values().map(|queued| queued.deadline).min()
     }
 
-    /// Takes all asks out.
+    /// Removes and returns all suspect asks.
     pub fn take_all(&mut self) -> Vec<QueuedAsk> {
         std::mem::take(&mut self.asks).into_values().collect()
     }
--- a/crates/dragonflystep_core/src/broker/load.rs
+++ b/crates/dragonflystep_core/src/broker/load.rs
@@ -1,4 +1,4 @@
-//! Brokers of one service agree before a tier is refused for load.
+//! Agreement among the brokers of a service before a tier is refused for overload.
 
 use {
     super::{
@@ -20,12 +20,12 @@
 };
 
 impl Group {
-    /// The group's service.
+    /// Id of the service that the group belongs to.
     pub fn service(&self) -> &ServiceId {
         &self.service
     }
 
-    /// What the group says to a yield for `tier`.
+    /// The group's answer to another broker's yield request for `tier`.
     fn yield_state(&self, context: &Context<'_>, tier: Tier) -> YieldState {
         if !self.may_grant(context) || !self.nothing_hidden() {
             return YieldState::Busy;
@@ -40,12 +40,12 @@
         YieldState::Clear
     }
 
-    /// Whether nothing below `tier` is served here.
+    /// Whether the group serves nothing less urgent than `tier`, including streams without a slot.
     fn is_clear(&self, tier: Tier) -> bool {
         self.nothing_hidden() && !self.slots.serves_below(tier)
     }
 
-    /// Asks of a tier for which lower streams are to make room.
+    /// Number of asks of a tier for which streams of less urgent tiers may be cancelled, by the overload policy.
     fn pressing(&self, view: &View, tier: Tier) -> usize {
         let policy = view.catalogue.service(&self.service);
         let policy = policy.map(|each| each.overload_policy).unwrap_or_default();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Cancels as many lower streams as have to make room for `wanted` asks of `tier`.
+    /// Cancels streams of less urgent tiers until `wanted` asks of `tier` have room, counting those that already end.
     fn make_room(&mut self, context: &mut Context<'_>, tier: Tier, wanted: usize) {
         let missing = wanted.saturating_sub(ending(&self.slots, tier));
         if missing == 0 || !self.may_grant(context) {
@@ -80,13 +80,16 @@
             ("grant", format!("{}/{}", key.0, key.1)),
             ("upstream", slot.upstream.to_string()),
             ("tier", slot.tier.to_string()),
-            ("reason", format!("A request of tier {tier} lacks room.")),
+            (
+                "reason",
+                format!("A request of tier {tier} needs its slot."),
+            ),
         ];
         context.send(&slot.entry, Message::CancelGrant(name));
         context.log(LogLevel::Info, "Cancelled a stream.", fields);
     }
 
-    /// Refuses the late asks of a tier, since nobody serves a lower one.
+    /// Refuses the late asks of a tier; called once no broker of the service serves a less urgent one.
     fn refuse_late(&mut self, context: &mut Context<'_>, tier: Tier) {
         for key in self.queue.late(tier) {
             let Some(queued) = self.queue.get(&key) else {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Sends one late ask of a tier to a group that has room.
+    /// Redirects one late ask of a tier to another group that has free slots. Returns whether there was one.
     fn move_late(&mut self, context: &mut Context<'_>, tier: Tier, group: &GroupId) -> bool {
         let late = self.queue.late(tier);
         let Some(key) = late.first() else {
@@ -118,7 +121,8 @@
 }
 
 impl Brokers {
-    /// What follows from a change of a group: summaries, room for late asks, refusals for load.
+    /// Handles the consequences of a change in a group: makes room for urgent asks, relieves late ones, and sends a
+    /// summary if free slots came or went.
     pub(super) fn settle(&mut self, context: &mut Context<'_>, id: &str) {
         let Some(group) = self.groups.get_mut(id) else {
             return;
@@ -140,7 +144,8 @@
         }
     }
 
-    /// Moves or refuses the late asks of a tier, or asks the other brokers to yield first.
+    /// Relieves the late asks of a tier: redirects one to another group of this node, asks the other brokers to yield,
+    /// and refuses the rest once every broker has agreed.
     fn relieve(&mut self, context: &mut Context<'_>, id: &str, service: &ServiceId, tier: Tier) {
         self.move_to_own_room(context, id, service, tier);
         if !self.all_clear(context, service, tier) {
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Sends a late ask to another group of this node that has room.
+    /// Redirects a late ask to another group that this node holds and that has free slots.
     fn move_to_own_room(
         &mut self,
         context: &mut Context<'_>,
@@ -177,7 +182,8 @@
         }
     }
 
-    /// Whether no broker of the service serves anything below `tier`, and none starts it for now.
+    /// Whether no broker of the service serves anything less urgent than `tier`, and none will start to before the
+    /// yield round expires.
     fn all_clear(&self, context: &Context<'_>, service: &ServiceId, tier: Tier) -> bool {
         let Some(round) = self.shared.rounds.get(service, tier) else {
             return false;
@@ -188,7 +194,7 @@
         }
         self.shared.directory.groups(service).iter().all(|group| {
             if let Some(own) = self.groups.get(group) {
-                // A node whose lease ran out can't tell what another one serves there by now.
+                // Without a valid lease, this node cannot know what another holder serves there by now.
                 return own.may_grant(context) && own.is_clear(tier);
             }
             let Some(holder) = context.view.holders.get(group) else {
@@ -198,15 +204,15 @@
         })
     }
 
-    /// Asks all other brokers of the service to yield, at most once in half a round's time.
+    /// Asks all other brokers of the service to yield, at most once in half a round interval.
     fn begin_round(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         let gap = context.view.tuning.round / 2;
         let last = self.shared.rounds.get(service, tier);
         if last.is_some_and(|round| context.now < round.began_at + gap) {
             return;
         }
-        // A broker that takes a group over grants nothing for longer than this, so that an answer
-        // can't be undone by a change of holder.
+        // A broker that takes over a group grants nothing for longer than this, so a change of holder
+        // cannot invalidate an answer.
         let lasts = context.view.tuning.grant_validity;
         if self.last_round == 0 {
             self.last_round = u64::from(context.random.random::<u32>()) << 16;
@@ -238,7 +244,7 @@
             .collect()
     }
 
-    /// Each group of the service that is busy with lower work ends one stream of it.
+    /// Cancels at least one less urgent stream in each own group of the service that is busy with them.
     fn make_room_for_others(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         for group in self.groups.values_mut() {
             if group.service == *service && group.yield_state(context, tier) == YieldState::Busy {
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Another broker lacks room for a tier.
+    /// Handles another broker's yield request: raises the floor, answers for each own group, and makes room.
     pub(super) fn yield_asked(&mut self, context: &mut Context<'_>, from: &NodeId, wanted: &Yield) {
         let until = context.now + wanted.lasts.min(longest_yield(context));
         self.shared
@@ -281,7 +287,7 @@
         }
     }
 
-    /// Another broker answered a yield.
+    /// Handles the answer of another broker to the current yield round.
     pub(super) fn yield_answered(&mut self, context: &mut Context<'_>, answer: &YieldAnswer) {
         let Some(round) = self.shared.rounds.get_mut(&answer.service, answer.tier) else {
             return;
@@ -299,7 +305,7 @@
         }
     }
 
-    /// Sends one late ask to each group that said it has room.
+    /// Redirects one late ask of each own group to a group that reported free slots.
     fn move_to_room(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         let own: Vec<GroupId> = self
             .groups
@@ -321,7 +327,7 @@
     }
 }
 
-/// A yield never lasts longer than this, whatever a message says.
+/// Upper bound on the duration of a yield, whatever the message says.
 fn longest_yield(context: &Context<'_>) -> Duration {
     2 * (context.view.tuning.grant_validity + context.view.tuning.drift_margin)
 }
--- a/crates/dragonflystep_core/src/broker/mod.rs
+++ b/crates/dragonflystep_core/src/broker/mod.rs
@@ -1,16 +1,17 @@
-//! Brokers: who is served, when and where, for the groups that this node holds.
+//! Brokers decide which asks are served, when, and on which upstream, for the groups whose lease this node holds.
 //!
-//! A node holds the lease of a group for an epoch. For that time it alone grants the group's upstreams:
+//! A node holds the lease of a group for an epoch. During that epoch it alone grants slots of the group's upstreams:
 //!
-//! - [`group`] is the state of one group, with the life of its asks; `grant` hands out what is free,
-//!   `stream` follows what was granted, `round` settles doubts and tells what is free.
-//! - `supply` knows the group's upstreams, `prediction` how long things take and wait, `load` how brokers
-//!   agree before they refuse a tier.
-//! - [`slots`] counts what may occupy an upstream, [`takeover`] what earlier holders may have left.
-//! - [`queue`] and [`fairness`] give the order, [`choice`], [`rates`], [`prefix_cache`] and
-//!   [`mod@adaptive_limit`] the upstream.
-//! - [`overload`] refuses a tier only when nothing lower is served; [`quarantine`] and [`isolation`] keep
-//!   requests that crash upstreams from doing so again.
+//! - [`group`] is the state of one group and the life cycle of its asks; `grant` assigns free slots, `stream` tracks
+//!   the granted streams, `round` resolves doubtful slots and sends summaries of the free ones.
+//! - `supply` tracks the group's upstreams, `prediction` estimates service and waiting times, `load` coordinates the
+//!   brokers of a service before they refuse a tier, `patience` lets an ask wait for a better upstream.
+//! - [`slots`] records every grant that may occupy an upstream, [`takeover`] bounds what earlier holders may have
+//!   left running.
+//! - [`queue`] and [`fairness`] decide the order of asks; [`choice`], [`rates`], [`prefix_cache`] and
+//!   [`mod@adaptive_limit`] decide the upstream.
+//! - [`overload`] ensures that a tier is refused only when no less urgent one is served; [`quarantine`] and
+//!   [`isolation`] keep requests that crash upstreams from doing so again.
 
 pub mod adaptive_limit;
 pub mod choice;
@@ -57,7 +58,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// State of this part.
+/// State of all brokers of this node: one [`Group`] for each held lease, and what the groups share.
 #[derive(Debug, Default)]
 pub struct Brokers {
     groups: BTreeMap<GroupId, Group>,
@@ -66,12 +67,12 @@
 }
 
 impl Brokers {
-    /// A group that this node holds.
+    /// State of a group; `None` if this node does not hold its lease.
     pub fn group(&self, id: &str) -> Option<&Group> {
         self.groups.get(id)
     }
 
-    /// Handles a message of an entry or another broker.
+    /// Handles a message of an entry node or of another broker.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         self.refresh(context);
         match message {
@@ -133,7 +134,7 @@
         self.settle(context, &id);
     }
 
-    /// Handles a report of an upstream.
+    /// Handles an upstream's load report, cache report or confirmed cancellation.
     pub fn upstream_event(&mut self, context: &mut Context<'_>, event: UpstreamEvent) {
         self.refresh(context);
         let upstream = match &event {
@@ -181,7 +182,7 @@
         Some(entry.group.clone())
     }
 
-    /// Looks after a group: expired grants, deadlines, summaries.
+    /// Handles a group's round timer: expired grants, deadlines, summaries.
     pub fn round_due(&mut self, context: &mut Context<'_>, group: &str) {
         self.refresh(context);
         let Some(held) = self.groups.get_mut(group) else {
@@ -192,7 +193,7 @@
         self.settle(context, group);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal of another part of the node: leases, the catalogue, members, leaving upstreams.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         self.refresh(context);
         match signal {
@@ -230,7 +231,7 @@
 
     fn acquired(&mut self, context: &mut Context<'_>, id: &GroupId, epoch: Epoch) {
         if self.groups.get(id).is_some_and(|held| held.epoch == epoch) {
-            // Grant numbers must not begin anew within an epoch.
+            // Grant numbers must not restart within an epoch.
             return;
         }
         if let Some(earlier) = self.groups.remove(id) {
@@ -252,7 +253,8 @@
         }
     }
 
-    /// Notes a crash, and shares it with the other brokers of the service.
+    /// Counts an upstream's crash against the requests that ran on it, and forwards it to the other brokers of the
+    /// service.
     fn crash_observed(&mut self, context: &mut Context<'_>, from: &NodeId, crash: &CrashObserved) {
         if crash.on_board == 0 {
             return self.quarantine_told(context, crash);
@@ -287,7 +289,7 @@
             return;
         };
         group.upstream_crashed(&crash.upstream);
-        // Only the broker of the group passes a crash on, and what it counted already it has passed on.
+        // Only the broker of the group forwards a crash, and it has already forwarded those that it counted before.
         let service = group.service().clone();
         if !passed_on.fingerprints.is_empty() {
             self.pass_on(context, &service, &passed_on);
@@ -298,7 +300,7 @@
         self.pump_all(context);
     }
 
-    /// Tells the other brokers of a service of a crash; the entry that saw it may be one of them.
+    /// Forwards a crash to the other brokers of a service, even if one of them reported it as an entry node.
     fn pass_on(&self, context: &mut Context<'_>, service: &str, crash: &CrashObserved) {
         let others: BTreeSet<NodeId> = self
             .shared
@@ -322,7 +324,7 @@
         self.pump_all(context);
     }
 
-    /// Tells a broker of what this node knows to be quarantined and the broker does not.
+    /// Tells the broker that forwarded a crash which of the requests are quarantined here, so that it learns of them.
     fn remind_of_quarantine(
         &self,
         context: &mut Context<'_>,
@@ -341,7 +343,7 @@
         }
     }
 
-    /// Tells a node that joined of what was quarantined here; it may take any group over.
+    /// Sends the quarantines that this node proved to a node that joined, since it may take over any group.
     fn tell_joined(&self, context: &mut Context<'_>, node: &NodeId) {
         for (upstream, fingerprints) in self.shared.quarantine.own_proofs(context.now) {
             let group = self.group_of(context, &upstream);
@@ -356,7 +358,7 @@
     }
 }
 
-/// Tells all nodes, any of which may take a group over, that requests are quarantined.
+/// Tells all nodes that requests are quarantined, since any node may take over a group.
 fn tell_quarantine(context: &mut Context<'_>, crash: &CrashObserved, proved: Vec<Fingerprint>) {
     for fingerprint in &proved {
         let reason = "It crashed an upstream on which it ran alone.";
--- a/crates/dragonflystep_core/src/broker/overload.rs
+++ b/crates/dragonflystep_core/src/broker/overload.rs
@@ -1,8 +1,7 @@
-//! Refusing for load: a tier is refused only when no broker of the service serves a lower one.
+//! Load shedding by tier: a tier is refused only when no broker of the service serves a less urgent one.
 //!
-//! A broker that has to refuse a tier asks all brokers of the service to yield. While it waits, and for
-//! as long as a round lasts, nothing below the tier is granted anywhere. One round serves all asks of
-//! the tier.
+//! A broker that has to refuse a tier asks all brokers of the service to yield. Until the round of yields expires,
+//! nothing less urgent than the tier is granted anywhere. One round covers all asks of the tier.
 
 use {
     super::slots::{Slot, SlotKey, SlotTable},
@@ -13,17 +12,17 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// Share of its prompt that a stream without a token is thought to have computed.
+/// Assumed computed share of the prompt of a stream that has no token yet.
 const PREFILL_UNDER_WAY: f64 = 0.5;
 
-/// Tiers below which nothing is granted, by service.
+/// Tier floors of each service: while a floor holds, no less urgent tier is granted.
 #[derive(Debug, Default)]
 pub struct Floors {
     until: BTreeMap<ServiceId, BTreeMap<Tier, Duration>>,
 }
 
 impl Floors {
-    /// Grants nothing below `tier` until `until`.
+    /// Forbids grants of tiers less urgent than `tier` until `until`.
     pub fn raise(&mut self, service: &ServiceId, tier: Tier, until: Duration) {
         let known = self
             .until
@@ -34,7 +33,7 @@
         *known = (*known).max(until);
     }
 
-    /// The lowest tier that may be granted now.
+    /// The least urgent tier that may be granted now; `Tier::MAX` without a floor.
     ///
     /// # Examples
     /// ```
@@ -52,13 +51,13 @@
             .map_or(Tier::MAX, |(tier, _)| *tier)
     }
 
-    /// When the floor of a service ends or changes.
+    /// When the next floor of a service ends; `None` without a floor.
     pub fn next_change(&self, service: &str, now: Duration) -> Option<Duration> {
         let tiers = self.until.get(service)?;
         tiers.values().filter(|until| now < **until).min().copied()
     }
 
-    /// Whether nothing below `tier` is granted up to `until`.
+    /// Whether floors ensure that nothing less urgent than `tier` is granted until `until`.
     pub fn holds(&self, service: &str, tier: Tier, until: Duration) -> bool {
         self.until.get(service).is_some_and(|tiers| {
             tiers
@@ -67,7 +66,7 @@
         })
     }
 
-    /// Forgets floors that have ended.
+    /// Removes floors that have ended.
     pub fn forget_old(&mut self, now: Duration) {
         for tiers in self.until.values_mut() {
             tiers.retain(|_, until| now < *until);
@@ -76,20 +75,21 @@
     }
 }
 
-/// One round of yields for a tier of a service.
+/// One round of yield requests for a tier of a service, with the answers so far.
 #[derive(Debug)]
 pub struct YieldRound {
-    /// Number, echoed in the answers.
+    /// Number of the round, which the answers repeat, so that a late answer to an earlier round is ignored.
     pub number: u64,
-    /// When it began.
+    /// When the yield requests were sent.
     pub began_at: Duration,
-    /// Until when an answer binds, counted from the beginning, so that it ends here before it ends there.
+    /// End of the time in which the answers are binding. It is counted from the start of the round, so it ends here
+    /// before the floors of the other brokers do.
     pub binds_until: Duration,
     answers: BTreeMap<GroupId, (Epoch, YieldState)>,
 }
 
 impl YieldRound {
-    /// A round that begins.
+    /// Starts a round whose answers are binding for `lasts`.
     pub fn new(number: u64, began_at: Duration, lasts: Duration) -> Self {
         Self {
             number,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Notes what a group answered.
+    /// Records the answer for a group.
     pub fn answered(&mut self, answer: &GroupYield) {
         let state = (answer.epoch, answer.answer);
         self.answers.insert(answer.group.clone(), state);
     }
 
-    /// Whether a group of another broker is clear at `now` under `epoch`.
+    /// Whether a group of another broker serves nothing less urgent at `now`, according to an answer given in `epoch`.
     pub fn is_clear(&self, group: &str, epoch: Epoch, now: Duration) -> bool {
         now < self.binds_until
             && matches!(
@@ -114,7 +114,7 @@
             )
     }
 
-    /// Takes a group out that said it has room, to move one ask there.
+    /// Removes and returns a group that reported free slots, so that one ask is redirected to it.
     pub fn take_room(&mut self) -> Option<GroupId> {
         let group = self
             .answers
@@ -126,35 +126,35 @@
     }
 }
 
-/// Rounds of one node.
+/// Latest yield round for each service and tier that this node started.
 #[derive(Debug, Default)]
 pub struct YieldRounds {
     rounds: BTreeMap<(ServiceId, Tier), YieldRound>,
 }
 
 impl YieldRounds {
-    /// The last round of a tier.
+    /// The latest round of a tier; `None` if none is remembered.
     pub fn get(&self, service: &ServiceId, tier: Tier) -> Option<&YieldRound> {
         self.rounds.get(&(service.clone(), tier))
     }
 
-    /// The last round of a tier, to change it.
+    /// Mutable access to the latest round of a tier.
     pub fn get_mut(&mut self, service: &ServiceId, tier: Tier) -> Option<&mut YieldRound> {
         self.rounds.get_mut(&(service.clone(), tier))
     }
 
-    /// Puts a new round in the place of the last one.
+    /// Replaces the latest round of a tier with a new one.
     pub fn begin(&mut self, service: &ServiceId, tier: Tier, round: YieldRound) {
         self.rounds.insert((service.clone(), tier), round);
     }
 
-    /// Forgets rounds whose answers bind no more.
+    /// Removes rounds whose answers are no longer binding.
     pub fn forget_old(&mut self, now: Duration) {
         self.rounds.retain(|_, round| now < round.binds_until);
     }
 }
 
-/// Prompt tokens that are thrown away when a stream is cancelled.
+/// Prompt tokens whose computation is wasted if the stream is cancelled.
 fn lost_prefill(slot: &Slot) -> u64 {
     let computed = u64::from(slot.prompt_tokens.saturating_sub(slot.cached_tokens));
     if slot.tokens > 0 {
@@ -163,7 +163,8 @@
     (computed as f64 * PREFILL_UNDER_WAY) as u64
 }
 
-/// The streams below `tier` to cancel: of the lowest tiers, and the least prefill lost first.
+/// Selects up to `count` streams less urgent than `tier` to cancel: the least urgent tiers first, and within a tier
+/// those that waste the least prefill.
 pub fn victims(
     slots: &SlotTable,
     tier: Tier,
@@ -180,7 +181,7 @@
     able.into_iter().take(count).map(|each| each.3).collect()
 }
 
-/// Streams below `tier` that were told to end and still count.
+/// Number of streams less urgent than `tier` that were cancelled and still occupy a slot.
 pub fn ending(slots: &SlotTable, tier: Tier) -> usize {
     slots
         .iter()
--- a/crates/dragonflystep_core/src/broker/patience.rs
+++ b/crates/dragonflystep_core/src/broker/patience.rs
@@ -1,9 +1,9 @@
-//! Patience: a waiting ask is passed over for now when a grant would throw prefill away.
+//! Deferral of asks: an ask is passed over for now when granting it would waste prefill.
 //!
-//! Engines compute prompts one after the other, so that prefill is what is scarce under load. Two kinds
-//! of it are thrown away: a prompt whose answer comes too late, and a prefix that another engine of the
-//! group holds already. An ask that is passed over stays in the queue in its place, and its account is
-//! not charged; the asks after it get the room meanwhile.
+//! Engines compute prompts one after the other, so prefill is the scarce resource under load. Two kinds of it are
+//! wasted: the prefill of a prompt whose answer comes too late, and that of a prefix which another engine of the
+//! group has cached already. An ask that is passed over keeps its place in the queue, and its account is not
+//! charged; later asks use the free slot in the meantime.
 
 use {
     super::{choice::Candidate, group::Group, queue::QueuedAsk},
@@ -15,20 +15,20 @@
     std::time::Duration,
 };
 
-/// Asks that one look at the queue passes over at most; bounds the cost of a decision.
+/// Maximum number of asks that one pass over the queue defers; bounds the cost of a decision.
 pub(super) const MOST_PASSED_OVER: usize = 16;
-/// How much longer than on the best upstream an ask may take on one that has room now, as a factor.
+/// Factor by which the score on the upstream with capacity must exceed the best score before an ask waits.
 const WORTH_WAITING: f64 = 1.2;
-/// Difference below which no wait is worth while.
+/// Minimum difference in score, in seconds, that makes waiting worthwhile.
 const LEAST_GAIN_SECONDS: f64 = 0.05;
-/// Prefill below which no wait is worth while, in seconds; an idle upstream is worth more.
+/// Minimum saved prefill, in seconds, that makes waiting worthwhile; below it, using an idle upstream gains more.
 const LEAST_PREFILL_SAVED: f64 = 0.1;
-/// The tier whose deadlines leave little time to wait for an engine that holds the prefix.
+/// The most urgent tier, whose deadlines leave little time to wait for an engine that has the prefix cached.
 const MOST_URGENT: Tier = 0;
-/// Share of its time that an ask of the most urgent tier waits for an engine that holds the prefix.
+/// Share of the time to its deadline that an ask of the most urgent tier may wait for an engine with its prefix.
 const URGENT_PATIENCE: f64 = 0.2;
 
-/// Until when an ask waits for an upstream that is better than the one with room.
+/// Latest time until which an ask waits for an upstream that is better than the one with capacity.
 fn waits_until(queued: &QueuedAsk) -> Duration {
     if queued.ask.tier > MOST_URGENT {
         return queued.latest_start;
@@ -39,7 +39,7 @@
 }
 
 impl Group {
-    /// Whether an ask should wait although an upstream has room for it.
+    /// Whether an ask should wait although an upstream has capacity for it.
     pub(super) fn should_wait(
         &self,
         context: &Context<'_>,
@@ -53,10 +53,10 @@
             || self.holder_is_worth_waiting(context.view, context.now, queued, chosen)
     }
 
-    /// Whether the answer would come too late under the present load, so that its prefill is lost.
+    /// Whether the answer is predicted to miss the deadline under the current load, so that its prefill is wasted.
     fn would_be_late(&self, context: &Context<'_>, queued: &QueuedAsk, chosen: &Candidate) -> bool {
         let model = self.upstreams.get(&chosen.upstream);
-        // An upstream shows its pace only by work, so that a mere guess keeps nothing from it.
+        // An upstream's speed is learned only from its work, so rates that are not yet trusted must not withhold work.
         let is_known = model.is_some_and(|model| model.rates.is_trusted());
         let time_left = queued.deadline.saturating_sub(context.now);
         context.view.tuning.policy.early_refusal
@@ -64,8 +64,8 @@
             && chosen.finish_seconds > time_left.as_secs_f64()
     }
 
-    /// Whether an upstream without room for the moment that has less of the prompt to compute, mostly as it
-    /// holds the prefix, is so much better that the ask waits for it.
+    /// Whether another upstream, which may have no capacity now, needs so much less prefill for the prompt that the ask
+    /// should wait for it. Usually it has the prompt's prefix cached.
     fn holder_is_worth_waiting(
         &self,
         view: &View,
--- a/crates/dragonflystep_core/src/broker/prediction.rs
+++ b/crates/dragonflystep_core/src/broker/prediction.rs
@@ -1,4 +1,4 @@
-//! Predictions of a group: how long a request takes, and how long it waits.
+//! Predicted service and waiting times of a group's requests.
 
 use {
     super::{
@@ -18,16 +18,16 @@
     std::time::Duration,
 };
 
-/// Share of the predicted decoding that a request needs at least; an answer may well be shorter.
+/// Share of the predicted decode time that an answer needs at least, since it may be shorter than predicted.
 pub(super) const SHORT_ANSWER: f64 = 0.5;
-/// Share of the predicted decoding that a request is thought to need when it is to start.
+/// Share of the predicted decode time that is assumed when a request is about to start.
 pub(super) const USUAL_ANSWER: f64 = 1.0;
 
-/// Asks beyond which a new one is refused for load, to bound the memory of the queue.
+/// Queue length beyond which further asks count as late and are refused for load; bounds the queue's memory.
 const MOST_WAITING: usize = 20_000;
 
 impl Group {
-    /// Upstreams that take new work.
+    /// Models of the group's upstreams that accept new work.
     pub(super) fn working<'a>(&'a self, view: &'a View) -> impl Iterator<Item = &'a UpstreamModel> {
         self.upstreams
             .values()
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Requests that could be granted now.
+    /// Number of requests that could be granted now.
     pub fn free_slots(&self, view: &View, now: Duration) -> u32 {
         let chooser = self.chooser(&view.tuning.policy, now);
         self.working(view)
@@ -63,7 +63,7 @@
             .sum()
     }
 
-    /// Slot time that a request takes on the group's upstreams in the mean, without any cached prefix.
+    /// Mean slot time of a request over the group's upstreams, in seconds, assuming that no prefix is cached.
     pub(super) fn mean_cost_seconds(&self, ask: &Ask) -> f64 {
         let computed = f64::from(ask.prompt_tokens);
         let total: f64 = self
@@ -77,7 +77,7 @@
         total / self.upstreams.len().max(1) as f64
     }
 
-    /// Time that a request takes on the best upstream that takes work.
+    /// Predicted seconds for a request on the fastest upstream that accepts work; 0 if none does.
     pub(super) fn best_service_seconds(&self, view: &View, ask: &Ask) -> f64 {
         let chooser = self.chooser(&view.tuning.policy, Duration::ZERO);
         let best = self
@@ -87,9 +87,9 @@
         if best.is_finite() { best } else { 0.0 }
     }
 
-    /// Whether no upstream could answer in `time_left`, even if it started now and ran nothing else.
+    /// Whether no upstream could answer within `time_left`, even if it started now and ran nothing else.
     ///
-    /// `answer_share` is the part of the predicted decoding that the request is given.
+    /// `answer_share` is the share of the predicted decode time that is assumed for the answer.
     pub(super) fn is_unreachable(
         &self,
         view: &View,
@@ -107,14 +107,14 @@
         any && !reachable
     }
 
-    /// Requests that the group may run at one time.
+    /// Number of requests that the group's upstreams may run at the same time.
     pub(super) fn running_limit(&self, view: &View) -> u32 {
         self.working(view)
             .map(|model| model.running_limit(&view.tuning.policy))
             .sum()
     }
 
-    /// When a waiting ask is thought to start, from now.
+    /// Predicted time from now until a waiting ask starts.
     pub(super) fn predicted_wait(
         &self,
         view: &View,
@@ -125,7 +125,7 @@
         self.takeover_left(now) + self.wait_behind(view, ahead)
     }
 
-    /// When an ask of a new account of this tier would start, from now.
+    /// Predicted time from now until an ask of this tier would start, if its account had no other asks waiting.
     pub(super) fn wait_of_tier(&self, view: &View, now: Duration, tier: Tier) -> Duration {
         let waiting = u32::try_from(self.queue.asks_up_to(tier)).unwrap_or(u32::MAX);
         if self.free_slots(view, now) > waiting {
@@ -135,7 +135,7 @@
         self.takeover_left(now) + self.wait_behind(view, ahead)
     }
 
-    /// Time to work off `ahead_seconds` of slot time, and to the next slot that comes free.
+    /// Time to process `ahead_seconds` of slot time, plus the mean wait for the next slot to become free.
     fn wait_behind(&self, view: &View, ahead_seconds: f64) -> Duration {
         let slots = f64::from(self.running_limit(view).max(1));
         let mean = self.mean_service_seconds.unwrap_or(0.0);
@@ -146,13 +146,13 @@
         self.takeover.dead_at().saturating_sub(now)
     }
 
-    /// Whether the predicted start of a waiting ask misses its deadline, or too many wait.
+    /// Whether a waiting ask is predicted to start too late for its deadline, or the queue is too long.
     pub(super) fn is_late(&self, context: &Context<'_>, queued: &QueuedAsk) -> bool {
         let wait = self.predicted_wait(context.view, context.now, queued);
         context.now + wait > queued.latest_start || self.queue.len() > MOST_WAITING
     }
 
-    /// Marks a waiting ask that is late.
+    /// Updates the late mark of a queued ask.
     pub(super) fn judge_lateness(&mut self, context: &Context<'_>, key: &AskKey) {
         if let Some(queued) = self.queue.get(key) {
             let late = self.is_late(context, queued);
--- a/crates/dragonflystep_core/src/broker/prefix_cache.rs
+++ b/crates/dragonflystep_core/src/broker/prefix_cache.rs
@@ -1,21 +1,21 @@
-//! What an upstream is thought to have cached: an own model of least recently used blocks.
+//! Model of an upstream's prefix cache (KV cache blocks), evicted in least-recently-used order.
 //!
-//! All work for the upstream passes here, so the model is filled by what was granted. The engine's own
-//! reports come late and with gaps and only correct it.
+//! All work for the upstream is granted by its broker, so the model is filled from the grants. The engine's own cache
+//! reports arrive late and with gaps; they only correct the model.
 
 use {
     crate::ids::BlockHash,
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Blocks that are remembered for one upstream.
+/// Maximum number of blocks that are remembered per upstream.
 const CAPACITY_BLOCKS: usize = 4096;
-/// What is left of the trust after a gap in the reports; what was granted is known without them.
+/// Factor applied to the trust after a gap in the reports. It is near 1, since the grants are known without reports.
 const TRUST_AFTER_GAP: f64 = 0.98;
-/// Least trust; some is kept since a missed guess is noticed and corrected.
+/// Minimum trust. It stays above zero, since a wrong prediction is noticed and corrected.
 const LEAST_TRUST: f64 = 0.1;
 
-/// Model of one upstream's cache.
+/// Predicted cache content of one upstream.
 #[derive(Debug)]
 pub struct PrefixCache {
     used_at: HashMap<BlockHash, u64>,
@@ -38,7 +38,7 @@
 }
 
 impl PrefixCache {
-    /// Notes that the upstream computes these blocks now; the longest prefix is evicted first.
+    /// Records that the upstream computes these blocks now. The last blocks of a prefix become the first to be evicted.
     pub fn used(&mut self, blocks: &[BlockHash]) {
         for block in blocks.iter().rev() {
             self.touch(*block);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Corrects the model by a report of the engine.
+    /// Corrects the model by a cache report of the engine; reports that are not newer than the last one are ignored.
     pub fn reported(&mut self, sequence: u64, stored: &[BlockHash], evicted: &[BlockHash]) {
         match self.last_sequence {
             Some(last) if sequence <= last => return,
@@ -66,7 +66,7 @@
         self.used(stored);
     }
 
-    /// Compares a guess with what the engine said it had found.
+    /// Adjusts the trust by comparing the predicted cached tokens with those that the engine found.
     pub fn guess_checked(&mut self, guessed_tokens: u32, found_tokens: u32) {
         if guessed_tokens == 0 {
             return;
@@ -76,13 +76,13 @@
         self.trust = self.trust.max(LEAST_TRUST);
     }
 
-    /// Blocks of the prompt that are thought to be cached.
+    /// Number of the prompt's leading blocks that are predicted to be cached.
     pub fn cached_blocks(&self, blocks: &[BlockHash]) -> usize {
-        // A prefix is evicted from its end, so that the cached blocks are the first ones.
+        // Prefixes are evicted from the end, so the cached blocks come first.
         blocks.partition_point(|block| self.used_at.contains_key(block))
     }
 
-    /// Tokens of the prompt that are thought to be cached.
+    /// Number of the prompt's tokens that are predicted to be cached.
     ///
     /// # Examples
     /// ```
@@ -99,12 +99,12 @@
         (share * f64::from(prompt_tokens)) as u32
     }
 
-    /// How far the model is to be believed, between 0 and 1.
+    /// Confidence in the model, between 0 and 1, by which predicted cached tokens are scaled.
     pub fn trust(&self) -> f64 {
         self.trust
     }
 
-    /// Forgets everything, for an upstream that was started anew.
+    /// Resets the model, for an upstream that was restarted or moved.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/dragonflystep_core/src/broker/prompt_ends.rs
+++ b/crates/dragonflystep_core/src/broker/prompt_ends.rs
@@ -1,24 +1,25 @@
-//! When an engine came to the end of its prompts, to tell how long each of them took.
+//! Times at which an engine finished prompts, used to tell how long each prompt took by itself.
 //!
-//! An engine computes prompts one after the other, so that the time to a first token holds the prompts
-//! before it. A prompt's own time runs from its grant, or from the end of the prompt before it.
+//! An engine computes prompts one after the other, so the time to a first token includes the prompts before it. A
+//! prompt's own time starts at its grant, or at the end of the prompt before it if that is later.
 
 use {
     super::slots::SlotKey,
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Ends that are remembered for one upstream.
+/// Maximum number of prompt ends that are remembered per upstream.
 const REMEMBERED: usize = 64;
 
-/// Ends of the prompts of one upstream that were granted last.
+/// End times of the prompts of one upstream's latest grants.
 #[derive(Debug, Default)]
 pub struct PromptEnds {
     ends: BTreeMap<SlotKey, Duration>,
 }
 
 impl PromptEnds {
-    /// Notes that the first token of a stream came at `at`; what is told later is more exact.
+    /// Records that the first token of a stream came at `at`. A later call for the same stream is more exact and
+    /// replaces the earlier time.
     pub fn ended(&mut self, key: SlotKey, at: Duration) {
         self.ends.insert(key, at);
         if self.ends.len() > REMEMBERED {
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Time that the prompt of a stream took by itself, which was granted at `granted_at` and came to its
-    /// end at `ended_at`.
+    /// Time that a stream's prompt took by itself, for a stream that was granted at `granted_at` and whose prompt was
+    /// finished at `ended_at`.
     ///
     /// # Examples
     /// ```
--- a/crates/dragonflystep_core/src/broker/quarantine.rs
+++ b/crates/dragonflystep_core/src/broker/quarantine.rs
@@ -1,4 +1,7 @@
-//! Requests that crash upstreams: suspected by what was on board, proved alone, then refused.
+//! Quarantine of requests that crash upstreams.
+//!
+//! A request is suspected after crashes of upstreams on which it ran, then runs alone on an upstream. If that one
+//! crashes as well, the request is proved to cause crashes and is refused.
 
 use {
     crate::{
@@ -8,38 +11,39 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a suspicion lasts without a new crash.
+/// How long a suspicion or a quarantine lasts without a new crash.
 const MEMORY: Duration = Duration::from_secs(600);
-/// Most fingerprints that are remembered.
+/// Maximum number of fingerprints that are remembered.
 const CAPACITY: usize = 4096;
-/// Reports of the same upstream within this time are of one crash.
+/// Reports about the same upstream within this time are attributed to one crash.
 const ONE_CRASH: Duration = Duration::from_secs(3);
-/// Share of a crash from which a request is suspected at the first one.
+/// Accumulated share of crashes from which a request is suspected. A crash with n requests on the upstream adds 1/n,
+/// so the first crash suffices with up to four requests.
 const SUSPECT_SHARE: f64 = 0.25;
-/// Crashes with company after which a request is suspected however many were on board.
+/// Number of crashes after which a request is suspected, however many other requests ran on the upstreams.
 const SUSPECT_CRASHES: u32 = 2;
 
-/// What a request may do to an upstream.
+/// How a request is treated, given the crashes that it was involved in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// It is not suspected of crashing upstreams.
     Trusted,
-    /// It may crash upstreams: it runs alone.
+    /// It may crash upstreams, so it must run alone.
     Suspect,
-    /// It crashed an upstream on which it ran alone, after an earlier crash.
+    /// It crashed an upstream on which it ran alone, after an earlier crash; it is refused.
     Quarantined,
 }
 
-/// A crash of an upstream, as a broker knows it.
+/// A crash of an upstream, from the point of view of one request that ran on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The upstream.
+    /// Id of the upstream that crashed.
     pub upstream: UpstreamId,
-    /// Requests that were on board as far as is known.
+    /// Number of requests that ran on the upstream, as far as is known.
     pub on_board: u32,
-    /// When the request was granted the upstream; none when another broker granted it.
+    /// When the request was granted the upstream; `None` when another broker granted it.
     pub granted_at: Option<Duration>,
-    /// Whether the request was granted the upstream for itself.
+    /// Whether the request was granted the upstream exclusively.
     pub alone: bool,
 }
 
@@ -55,14 +59,14 @@
     }
 }
 
-/// What a crash added to what is known of a request.
+/// How a crash changed the suspicion of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing: it was reported before.
+    /// The crash had been counted before.
     Repeated,
-    /// It was counted.
+    /// The crash was counted.
     Counted,
-    /// It proved that the request crashes upstreams.
+    /// The crash proved that the request crashes upstreams.
     Proved,
 }
 
@@ -71,7 +75,7 @@
     share: f64,
     crashes: u32,
     proved: bool,
-    /// Whether this node saw the proof.
+    /// Whether this node proved it, instead of hearing of it from another broker.
     own_proof: bool,
     last_upstream: UpstreamId,
     last_at: Duration,
@@ -90,7 +94,7 @@
     }
 
     fn has_counted(&self, crash: &Crash, now: Duration) -> bool {
-        // What was granted after the last crash was not on board of it.
+        // A request that was granted after the last crash did not run on the upstream when it crashed.
         self.crashes > 0
             && self.last_upstream == crash.upstream
             && now < self.last_at.saturating_add(ONE_CRASH)
@@ -98,15 +102,17 @@
     }
 }
 
-/// Suspicions of one node.
+/// Requests that are suspected or quarantined, as far as one node knows.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspicions: BTreeMap<Fingerprint, Suspicion>,
 }
 
 impl Quarantine {
-    /// Notes a crash; only one of an upstream that was granted to a suspect for itself is a proof, since entries
-    /// see only their own requests on board.
+    /// Counts a crash against a request.
+    ///
+    /// Only the crash of an upstream that was granted exclusively to a suspect is a proof: entry nodes see only their
+    /// own requests on an upstream.
     ///
     /// # Examples
     /// ```
@@ -146,7 +152,7 @@
         Finding::Proved
     }
 
-    /// Takes over another broker's word that a request crashes upstreams.
+    /// Adopts another broker's finding that a request crashes upstreams.
     pub fn told(&mut self, fingerprint: Fingerprint, upstream: &UpstreamId, now: Duration) {
         let suspicion = self.suspicion(fingerprint, upstream, now);
         if !suspicion.proved {
@@ -155,8 +161,10 @@
         }
     }
 
-    /// Requests of which this node saw the proof, by the upstream that crashed last. Only they are told to nodes
-    /// that join, so that a quarantine ends although nobody tells its age.
+    /// Requests that this node proved to crash upstreams, by the upstream that crashed last.
+    ///
+    /// Only these are sent to nodes that join. The message carries no age, so repeating findings of other nodes
+    /// would extend a quarantine forever.
     pub fn own_proofs(&self, now: Duration) -> BTreeMap<UpstreamId, Vec<Fingerprint>> {
         let mut proofs: BTreeMap<UpstreamId, Vec<Fingerprint>> = BTreeMap::new();
         for (fingerprint, suspicion) in &self.suspicions {
@@ -168,12 +176,12 @@
         proofs
     }
 
-    /// A request ran to its end, so that it did not cause the crashes that it was in.
+    /// Clears a request that completed, since it did not cause the crashes that it was involved in.
     pub fn finished(&mut self, fingerprint: Fingerprint) {
         self.suspicions.remove(&fingerprint);
     }
 
-    /// What is thought of a request.
+    /// How a request is to be treated now.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         let Some(suspicion) = self.suspicions.get(&fingerprint) else {
             return Verdict::Trusted;
@@ -190,13 +198,13 @@
         Verdict::Trusted
     }
 
-    /// When a quarantined request may come again.
+    /// Time until a quarantined request is accepted again; `None` if nothing is known of it.
     pub fn retry_after(&self, fingerprint: Fingerprint, now: Duration) -> Option<Duration> {
         let suspicion = self.suspicions.get(&fingerprint)?;
         Some((suspicion.last_at + MEMORY).saturating_sub(now))
     }
 
-    /// Forgets what is old.
+    /// Removes suspicions that have expired.
     pub fn forget_old(&mut self, now: Duration) {
         self.suspicions
             .retain(|_, suspicion| now < suspicion.last_at + MEMORY);
@@ -218,7 +226,7 @@
     }
 
     fn drop_oldest(&mut self) {
-        // A proved one goes only when all are proved.
+        // A proved suspicion is dropped only when all of them are proved.
         let oldest = self
             .suspicions
             .iter()
--- a/crates/dragonflystep_core/src/broker/queue.rs
+++ b/crates/dragonflystep_core/src/broker/queue.rs
@@ -1,4 +1,5 @@
-//! The queue of one group: strict tiers, fair accounts within a tier, earliest deadline within an account.
+//! Queue of one group: strict priority between tiers, fair sharing among the accounts of a tier, and earliest
+//! deadline first within an account.
 
 use {
     super::{fairness::FairOrder, slots::AskKey},
@@ -12,26 +13,26 @@
     },
 };
 
-/// An ask that waits.
+/// An ask that waits for a grant.
 #[derive(Clone, Debug)]
 pub struct QueuedAsk {
-    /// Who asked.
+    /// The entry node, its request and its time stamp, which identify the ask.
     pub key: AskKey,
-    /// The ask.
+    /// The message of the entry node.
     pub ask: Ask,
-    /// When it came.
+    /// When the broker received it.
     pub received_at: Duration,
-    /// When its answer is of no more use.
+    /// Time after which an answer is useless.
     pub deadline: Duration,
-    /// Latest time at which a start can still meet the deadline.
+    /// Latest start that can still meet the deadline.
     pub latest_start: Duration,
-    /// Slot time that it is thought to take.
+    /// Predicted slot time.
     pub cost_seconds: f64,
-    /// Weight of its account.
+    /// Weight of its account in the fair sharing of the tier.
     pub weight: u32,
-    /// Whether its predicted start misses the deadline.
+    /// Whether its predicted start is too late for the deadline, or the queue is too long.
     pub late: bool,
-    /// When its entry should hear of it again.
+    /// When its entry node is next told how long it will wait.
     pub news_at: Duration,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl TierQueue {
-    /// The next ask: of the account that is due, the one with the earliest deadline.
+    /// The next ask: the one with the earliest deadline of the account that is next, skipping those passed over.
     fn next(&self, passed_over: &BTreeSet<AskKey>) -> Option<&AskKey> {
         let lines = self.order.iter().filter_map(|id| self.accounts.get(id));
         lines
@@ -63,7 +64,8 @@
             .find(|key| !passed_over.contains(*key))
     }
 
-    /// What all accounts are served until an account got `own_before` and its next ask is due.
+    /// Slot time that the other accounts, and the account itself, receive before the account's next ask starts, if the
+    /// account has `own_before` of slot time to be served first.
     fn turns(&self, own_before: f64, weights: u64, weight: u64) -> f64 {
         let mean = self.cost_seconds / self.asks.max(1) as f64;
         let share = weights as f64 / weight.max(1) as f64;
@@ -71,7 +73,7 @@
     }
 }
 
-/// All asks that wait for one group.
+/// All asks that wait for one group, except isolated ones.
 #[derive(Debug, Default)]
 pub struct Queue {
     asks: BTreeMap<AskKey, QueuedAsk>,
@@ -81,13 +83,13 @@
     fair: bool,
 }
 
-/// Account under which all asks of a tier stand while fairness is switched off.
+/// Account in whose line an ask waits; without fairness, all asks of a tier share one line.
 fn account_of(ask: &Ask, fair: bool) -> AccountId {
     if fair { ask.account.clone() } else { "".into() }
 }
 
 impl Queue {
-    /// An empty queue; without `fair` all accounts of a tier stand in one line.
+    /// Creates an empty queue; without `fair`, all accounts of a tier share one line.
     pub fn new(fair: bool) -> Self {
         Self {
             fair,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Adds an ask.
+    /// Adds an ask to the line of its account.
     pub fn push(&mut self, queued: QueuedAsk) {
         let account = account_of(&queued.ask, self.fair);
         let tier = self.tiers.entry(queued.ask.tier).or_default();
@@ -123,7 +125,7 @@
         self.asks.insert(queued.key.clone(), queued);
     }
 
-    /// Takes an ask out without serving it.
+    /// Removes an ask without charging its account.
     pub fn remove(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.asks.remove(key)?;
         self.by_deadline.remove(&(queued.deadline, key.clone()));
@@ -139,7 +141,7 @@
         line.by_deadline.remove(&(queued.deadline, key.clone()));
         line.cost_seconds -= queued.cost_seconds;
         if tier.asks == 0 {
-            // Rounding of many additions must not outlive the asks.
+            // Drops the rounding error that many additions and subtractions leave behind.
             tier.cost_seconds = 0.0;
         }
         if line.by_deadline.is_empty() {
@@ -150,7 +152,7 @@
         Some(queued)
     }
 
-    /// Takes an ask out to serve it, and charges its account.
+    /// Removes an ask that is granted, and charges its account.
     pub fn serve(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.asks.get(key)?;
         let account = account_of(&queued.ask, self.fair);
@@ -160,7 +162,7 @@
         self.remove(key)
     }
 
-    /// The ask that is next among those of `floor` and more urgent tiers, besides those passed over.
+    /// The next ask of the tier `floor` or of a more urgent one, skipping those in `passed_over`.
     pub fn next(&self, floor: Tier, passed_over: &BTreeSet<AskKey>) -> Option<&QueuedAsk> {
         let key = self
             .tiers
@@ -170,12 +172,12 @@
         self.asks.get(key)
     }
 
-    /// An ask.
+    /// Looks up a queued ask.
     pub fn get(&self, key: &AskKey) -> Option<&QueuedAsk> {
         self.asks.get(key)
     }
 
-    /// Marks whether an ask is late.
+    /// Sets or clears the late mark of an ask.
     pub fn set_late(&mut self, key: &AskKey, late: bool) {
         let Some(queued) = self.asks.get_mut(key) else {
             return;
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Marks the asks late whose latest start is before `at`.
+    /// Marks all asks whose latest start is before `at` as late.
     pub fn mark_late_before(&mut self, at: Duration) {
         for tier in self.tiers.values_mut() {
             for (latest_start, key) in &tier.by_latest_start {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Late asks of a tier.
+    /// Keys of a tier's asks that are marked late.
     pub fn late(&self, tier: Tier) -> Vec<AskKey> {
         self.tiers
             .get(&tier)
@@ -215,7 +217,7 @@
             .unwrap_or_default()
     }
 
-    /// Number of late asks of a tier.
+    /// Number of a tier's asks that are marked late.
     pub fn late_count(&self, tier: Tier) -> usize {
         self.tiers.get(&tier).map_or(0, |each| each.late.len())
     }
@@ -238,8 +240,8 @@
         self.tiers.range(..=tier).map(|(_, each)| each.asks).sum()
     }
 
-    /// Slot time that is served before a waiting ask: all of the more urgent tiers, and of its own tier
-    /// what the other accounts are served while it is its account's turn.
+    /// Predicted slot time that is served before a waiting ask: that of all more urgent tiers, and in its own tier that
+    /// of the asks whose turn comes first under fair sharing.
     pub fn cost_before(&self, queued: &QueuedAsk) -> f64 {
         let tier = queued.ask.tier;
         let above = self.cost_above(tier);
@@ -256,7 +258,7 @@
         above + own.turns(own_before, own.weights, weight).min(others)
     }
 
-    /// Slot time that is served before the ask of an account that has none waiting.
+    /// Predicted slot time that is served before an ask whose account has no other asks waiting.
     pub fn cost_before_new(&self, tier: Tier) -> f64 {
         let above = self.cost_above(tier);
         let Some(own) = self.tiers.get(&tier) else {
@@ -271,7 +273,7 @@
         above.map(|(_, each)| each.cost_seconds.max(0.0)).sum()
     }
 
-    /// Asks whose deadline is at or before `now`.
+    /// Keys of the asks whose deadline is at or before `now`.
     pub fn passed(&self, now: Duration) -> Vec<AskKey> {
         self.by_deadline
             .iter()
@@ -280,7 +282,7 @@
             .collect()
     }
 
-    /// Notes when the entry of an ask should hear of it again.
+    /// Sets when the entry node of an ask is next told how long it will wait.
     pub fn set_news_at(&mut self, key: &AskKey, news_at: Duration) {
         if let Some(queued) = self.asks.get_mut(key) {
             self.by_news.remove(&(queued.news_at, key.clone()));
@@ -289,28 +291,28 @@
         }
     }
 
-    /// Asks of which their entries should hear again.
+    /// Keys of the asks whose entry nodes are due to be told how long they will wait.
     pub fn news_due(&self, now: Duration) -> Vec<AskKey> {
         let due = self.by_news.iter().take_while(|(at, _)| *at <= now);
         due.map(|(_, key)| key.clone()).collect()
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline of any queued ask.
     pub fn earliest_deadline(&self) -> Option<Duration> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// All asks, in no particular order of service.
+    /// Iterates over all asks by key, not in the order of service.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedAsk> {
         self.asks.values()
     }
 
-    /// Number of asks.
+    /// Number of queued asks.
     pub fn len(&self) -> usize {
         self.asks.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no ask is queued.
     pub fn is_empty(&self) -> bool {
         self.asks.is_empty()
     }
--- a/crates/dragonflystep_core/src/broker/rates.rs
+++ b/crates/dragonflystep_core/src/broker/rates.rs
@@ -1,26 +1,26 @@
-//! How fast an upstream works: learned from ended streams, started from what its class showed.
+//! Speed of an upstream: learned from ended streams, starting from the rates of its class.
 
 use {
     crate::{catalogue::ServiceKind, message::Finished},
     std::time::Duration,
 };
 
-/// Weight that an old sample keeps when a new one comes.
+/// Factor applied to the weight of older samples when a new one is added.
 const DECAY: f64 = 0.95;
-/// How many samples the class counts for on a new upstream.
+/// Weight of the class rates on a new upstream, in samples.
 const PRIOR_WEIGHT: f64 = 3.0;
-/// Real samples after which an estimate may refuse a request.
+/// Number of samples after which an estimate may be the reason to refuse a request.
 const TRUSTED_SAMPLES: u32 = 5;
-/// Time to the first token of an empty prompt, before anything is known.
+/// Initial estimate of the time to the first token of an empty prompt.
 const FIRST_BASE_SECONDS: f64 = 0.02;
-/// Time for one prompt token, before anything is known.
+/// Initial estimate of the prefill time per prompt token.
 const FIRST_PER_TOKEN_SECONDS: f64 = 0.000_2;
-/// Time between tokens, before anything is known.
+/// Initial estimate of the time between tokens.
 const FIRST_GAP_SECONDS: f64 = 0.03;
-/// Share of the longest answer that is used, before anything is known.
+/// Initial estimate of the mean answer length, as a share of the longest answer.
 const FIRST_OUTPUT_SHARE: f64 = 0.5;
 
-/// A line through decayed samples.
+/// Weighted linear regression over exponentially decayed samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct LinearFit {
     weight: f64,
@@ -76,23 +76,23 @@
     }
 }
 
-/// Time that a request is thought to take on one upstream.
+/// Predicted time of a request on one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Until the first token.
+    /// Time until the first token.
     pub prefill_seconds: f64,
-    /// From the first token to the end.
+    /// Time from the first token to the end of the answer.
     pub decode_seconds: f64,
 }
 
 impl Estimate {
-    /// Both together.
+    /// Sum of prefill and decode time.
     pub fn total_seconds(&self) -> f64 {
         self.prefill_seconds + self.decode_seconds
     }
 }
 
-/// Rates of one upstream, or of one class of upstreams.
+/// Learned speed of one upstream, or of one class of upstreams.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     first_token: LinearFit,
@@ -119,7 +119,7 @@
 }
 
 impl Rates {
-    /// Rates of a new upstream of a class with these rates.
+    /// Initial rates of a new upstream, taken from those of its class with a reduced weight.
     pub fn from_class(class: &Self) -> Self {
         Self {
             first_token: class.first_token.scaled_to(PRIOR_WEIGHT),
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Whether the upstream has shown its own pace.
+    /// Whether enough samples of this upstream itself exist, so that it no longer follows its class.
     pub fn is_own(&self) -> bool {
         self.own_samples >= TRUSTED_SAMPLES
     }
 
-    /// Rates of the class, for an upstream that has shown too little of its own.
+    /// Rates of the class, for an upstream with too few samples of its own; keeps the count of its own samples.
     pub fn unproved_like(&self, class: &Self) -> Self {
         Self {
             own_samples: self.own_samples,
@@ -141,15 +141,16 @@
         }
     }
 
-    /// Moves a part of the way to the rates of the class, so that an upstream that was slow once and
-    /// got nothing since is tried again.
+    /// Moves the rates by the share `part` towards those of the class, so that an upstream that was slow once and has
+    /// had no work since is tried again.
     pub fn drift_towards(&mut self, class: &Self, part: f64) {
         self.gap_seconds += part * (class.gap_seconds - self.gap_seconds);
         let class_fit = class.first_token.scaled_to(self.first_token.weight);
         self.first_token.mix(&class_fit, part);
     }
 
-    /// Learns from an ended stream; `computed_tokens` of its prompt were not cached.
+    /// Learns from an ended stream. `computed_tokens` of its prompt were not cached, `output_tokens` is the longest
+    /// answer it could have, and `whole` is false if it did not complete.
     pub fn learn(
         &mut self,
         kind: ServiceKind,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Time that a request is thought to take.
+    /// Predicts the time of a request, `computed` of whose prompt tokens are not cached.
     pub fn estimate(&self, kind: ServiceKind, computed: f64, output_tokens: u32) -> Estimate {
         let prefill_seconds = self.first_token.at(computed);
         let decode_seconds = match kind {
@@ -197,17 +198,17 @@
         }
     }
 
-    /// Mean time between two tokens.
+    /// Mean time between two tokens of a stream.
     pub fn gap(&self) -> Duration {
         Duration::from_secs_f64(self.gap_seconds.max(0.0))
     }
 
-    /// Time for a thousand prompt tokens more.
+    /// Additional prefill time for a thousand more prompt tokens.
     pub fn prefill_per_thousand(&self) -> Duration {
         Duration::from_secs_f64(1000.0 * self.first_token.slope())
     }
 
-    /// Whether there are enough real samples to refuse a request on the ground of an estimate.
+    /// Whether there are enough samples, of the upstream or its class, to refuse a request because of an estimate.
     pub fn is_trusted(&self) -> bool {
         self.samples >= TRUSTED_SAMPLES
     }
--- a/crates/dragonflystep_core/src/broker/round.rs
+++ b/crates/dragonflystep_core/src/broker/round.rs
@@ -1,4 +1,4 @@
-//! Rounds of a group: doubts, reports and summaries.
+//! Periodic work of a group: resolving doubtful slots, comparing load reports with the slots, sending summaries.
 
 use {
     super::{
@@ -18,16 +18,16 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How much of a suspected slowness is forgiven in a round without new signs.
+/// Share of an upstream's excess slowness that is removed in each round, so that it is used again in the end.
 const SLOWNESS_FORGIVEN: f64 = 0.03;
 
-/// How much of the way to its class an idle upstream's rates go in a round.
+/// Share of the difference to its class by which an idle upstream's rates move in each round.
 const RATES_FORGIVEN: f64 = 0.005;
 /// Time without an ended stream after which an upstream counts as idle.
 const IDLE: Duration = Duration::from_secs(10);
 
 impl Group {
-    /// Looks after the group; the whole round is done once in each round's time.
+    /// Handles the group's timer. Deadlines and grants are handled each time, the rest once per round interval.
     pub fn round_due(&mut self, context: &mut Context<'_>, shared: &mut Shared) {
         if self.armed_at.is_some_and(|at| at <= context.now) {
             self.armed_at = None;
@@ -70,13 +70,14 @@
             silent.insert(slot.entry.clone());
         }
         for entry in silent {
-            // The answer is a complete list, which settles the doubt.
+            // The answer is a complete list of the node's grants, which resolves the doubt.
             self.probe_holdings(context, &entry);
         }
         self.repeat_cancels(context);
     }
 
-    /// Upstreams that showed no new sign of being slow are tried again in the end.
+    /// Moves slowness and idle upstreams' rates back towards normal, so that an upstream without new signs of slowness
+    /// is tried again.
     fn forgive(&mut self, context: &Context<'_>, shared: &Shared) {
         for model in self.upstreams.values_mut() {
             model.slowness += SLOWNESS_FORGIVEN * (1.0 - model.slowness);
@@ -101,7 +102,7 @@
                 let message = Message::CancelGrant(self.grant_name(key));
                 context.send(&slot.entry, message);
             }
-            // A live entry tells by its list whether it still wants a stream that is in doubt.
+            // A live entry node tells by its list whether it still wants a doubtful stream.
             let is_wanted = slot.is_doubtful() && self.can_tell(context, key, slot);
             if slot.unattended_since().is_some() && slot.cancellable && !is_wanted {
                 self.cancel_at_upstream(context, key);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Name of the grant of a slot.
+    /// Name of a slot's grant, as messages use it.
     pub(super) fn grant_name(&self, key: SlotKey) -> GrantName {
         GrantName {
             group: self.id.clone(),
@@ -132,7 +133,7 @@
         });
     }
 
-    /// The upstream confirmed that a cancelled stream has ended there.
+    /// Handles an upstream's confirmation that a cancelled stream has ended there.
     pub fn cancel_confirmed(
         &mut self,
         context: &mut Context<'_>,
@@ -147,17 +148,17 @@
         }
     }
 
-    /// Whether the process that has the grant of a slot lives, as far as this node knows.
+    /// Whether the entry process that has a slot's grant is alive, as far as this node knows, and so can report on it.
     fn can_tell(&self, context: &Context<'_>, key: SlotKey, slot: &Slot) -> bool {
         let present = incarnation_of(context.view, &slot.entry);
         let is_present = slot.incarnation.is_none() || slot.incarnation == present;
         present.is_some() && (is_present || self.undecided.contains(&key))
     }
 
-    /// A node's process has ended: nobody tells any more what became of its streams.
+    /// Handles the end of a node's process, after which it no longer reports on its streams.
     ///
-    /// A process that started anew asks before its row is read here, so that grants to it stand under the
-    /// name of the one before. Where there is a successor, its list tells which streams are its own.
+    /// A restarted process sends asks before its membership row is read here, so grants to it may be recorded under the
+    /// incarnation of the ended one. If there is a successor, its list of grants tells which streams are its own.
     pub fn member_gone(
         &mut self,
         context: &mut Context<'_>,
@@ -187,13 +188,13 @@
         }
     }
 
-    /// A node joined that the broker before may have granted to.
+    /// Handles a node that joined. An earlier holder of the group may have granted slots to it, so it is asked.
     pub fn member_joined(&mut self, context: &mut Context<'_>, node: &NodeId) {
         self.takeover.joined(node);
         self.probe_holdings(context, node);
     }
 
-    /// An upstream reported its load.
+    /// Handles an upstream's load report; `queued` is the number of requests in its own queue.
     pub fn load_reported(
         &mut self,
         context: &mut Context<'_>,
@@ -203,7 +204,7 @@
         queued: u32,
     ) {
         self.compare_reports(context);
-        // At once, so that a takeover is short, and again when more is known of what ran.
+        // The report is compared at once to keep a takeover short, and again when more is known of what ran.
         self.compare_report(upstream, report);
         let useful_from = self.takeover.bounded_from();
         if let Some(model) = self.upstreams.get_mut(upstream) {
@@ -218,8 +219,8 @@
         self.pump(context, shared);
     }
 
-    /// In a takeover, asks the entries of an upstream's streams whether they still run, now that a report
-    /// is there: it bounds the streams that nobody tells of only by those that are known to have outlived it.
+    /// During a takeover, asks the entry nodes of an upstream's streams whether those still run, after a load report
+    /// arrived. Only streams that are known to have run past the report's sample time count as explained by it.
     fn ask_what_runs(&self, context: &mut Context<'_>, upstream: &UpstreamId) {
         let is_bounding = self
             .upstreams
@@ -238,7 +239,8 @@
         }
     }
 
-    /// Compares the reports of a takeover with the slots as soon as an entry told what it holds.
+    /// During a takeover, compares the pending load reports with the slots as soon as an entry node has listed its
+    /// grants.
     pub(super) fn compare_in_takeover(&mut self) {
         if self.takeover.is_done() {
             return;
@@ -248,10 +250,10 @@
         }
     }
 
-    /// Compares each upstream's report with the slots, more than a round after it was read.
+    /// Compares each upstream's pending load report with the slots, more than a round interval after it was read.
     ///
-    /// By then the ends of streams that were on their way have come, so that a stream which still
-    /// counts as running did run when the report was sampled.
+    /// By then the messages about streams that ended before the sample have arrived, so a stream that still counts as
+    /// running did run when the report was sampled.
     fn compare_reports(&mut self, context: &Context<'_>) {
         let delay = context.view.tuning.round + REPORT_MARGIN;
         let mut due = self.pending_reports();
@@ -289,7 +291,8 @@
         }
     }
 
-    /// Ends unattended streams of an upstream that ran at most `unknown` of them at `sampled_at`.
+    /// Removes the unattended streams of an upstream if a report shows that at most `unknown` of them, and not all, ran
+    /// at `sampled_at`.
     fn end_unattended(&mut self, upstream: &UpstreamId, sampled_at: Duration, unknown: u32) {
         let unattended: Vec<SlotKey> = self
             .slots
@@ -308,7 +311,7 @@
         if unknown as usize >= unattended.len() || (unknown > 0 && counts_tokens) {
             return;
         }
-        // Nobody knows which of them still run, so that those count without a name from now on.
+        // It is not known which of them still run, so the remaining ones are only counted from now on.
         model.unexplained = Some(unknown);
         model.unexplained_as_of = sampled_at;
         for key in unattended {
@@ -316,7 +319,7 @@
         }
     }
 
-    /// Streams that nobody tells of are over in the end, also where no report ever shows it.
+    /// Removes streams of unknown state after [`LONGEST_LEFT_BEHIND`] on upstreams that never report their load.
     fn outlive_left_behind(&mut self, now: Duration) {
         let older_are_over = now >= self.takeover.dead_at() + LONGEST_LEFT_BEHIND;
         let mut silent = BTreeSet::new();
@@ -344,7 +347,7 @@
         }
     }
 
-    /// Ends the takeover when nothing can be hidden any more.
+    /// Ends the takeover once every stream that may run on the upstreams has a slot and no old grant can be started.
     pub(super) fn settle_takeover(&mut self, context: &mut Context<'_>) {
         if self.takeover.is_done() {
             return;
@@ -371,12 +374,12 @@
         models.all(|model| model.unexplained == Some(0))
     }
 
-    /// Whether every stream that may run on the group's upstreams has its slot.
+    /// Whether every stream that may run on the group's upstreams has a slot.
     pub(super) fn nothing_hidden(&self) -> bool {
         self.takeover.is_done() && self.all_explained()
     }
 
-    /// An operator should know which node or upstream keeps slots from being granted.
+    /// Logs once which nodes and upstreams prevent slots from being granted, for operators.
     fn warn_of_long_takeover(&mut self, context: &mut Context<'_>) {
         if !self.takeover.is_long(context.now) {
             return;
@@ -394,14 +397,14 @@
             ("upstreams", upstreams.join(" ")),
             (
                 "reason",
-                "No load report shows what still runs there.".into(),
+                "No load report shows which streams still run there.".into(),
             ),
         ];
         let text = "A takeover lasts long: not all slots are granted.";
         context.log(LogLevel::Warn, text, fields);
     }
 
-    /// Tells when the group's free slots come or go.
+    /// Sends a summary to the nodes that asked recently, when the last free slot was taken or a slot became free.
     pub(super) fn tell_turn(&mut self, context: &mut Context<'_>) {
         let has_free = self.may_grant(context) && self.free_slots(context.view, context.now) > 0;
         if self.audience.turned(has_free, context.now) {
--- a/crates/dragonflystep_core/src/broker/settled.rs
+++ b/crates/dragonflystep_core/src/broker/settled.rs
@@ -1,4 +1,4 @@
-//! Asks that got their answer, so that a repeat gets the same one.
+//! Answers to asks, remembered so that a repeated ask gets the same answer.
 
 use {
     super::slots::AskKey,
@@ -6,10 +6,10 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Most answers that are remembered.
+/// Maximum number of answers that are remembered.
 const CAPACITY: usize = 4096;
 
-/// Answers of one group.
+/// Latest answers of one group, the oldest dropped first.
 #[derive(Debug, Default)]
 pub struct SettledAsks {
     answers: BTreeMap<AskKey, Message>,
@@ -17,7 +17,7 @@
 }
 
 impl SettledAsks {
-    /// Notes the answer to an ask; a later one takes its place.
+    /// Records the answer to an ask; a later answer to the same ask replaces it.
     pub fn insert(&mut self, key: AskKey, answer: Message) {
         if self.answers.insert(key.clone(), answer).is_some() {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The answer to an ask.
+    /// The remembered answer to an ask.
     pub fn get(&self, key: &AskKey) -> Option<&Message> {
         self.answers.get(key)
     }
--- a/crates/dragonflystep_core/src/broker/shared.rs
+++ b/crates/dragonflystep_core/src/broker/shared.rs
@@ -1,4 +1,4 @@
-//! What the groups of one node share.
+//! State that the brokers of one node share across groups.
 
 use {
     super::{
@@ -11,35 +11,35 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// State of all brokers of one node.
+/// State that all groups held by one node use.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// Index over the catalogue.
+    /// Index of the catalogue by service and by group.
     pub directory: Directory,
-    /// Tiers below which nothing is granted.
+    /// Tier floors set by yield rounds: less urgent tiers get no grants.
     pub floors: Floors,
-    /// Rounds in which other brokers are asked to yield.
+    /// Yield rounds that this node started.
     pub rounds: YieldRounds,
-    /// Requests that may crash upstreams.
+    /// Requests that are suspected of, or quarantined for, crashing upstreams.
     pub quarantine: Quarantine,
-    /// Rates of each class of upstreams.
+    /// Learned rates of each class of upstreams.
     pub classes: BTreeMap<Arc<str>, Rates>,
 }
 
 impl Shared {
-    /// Rates of a class.
+    /// Rates of a class; the initial ones if nothing was learned yet.
     pub fn class_rates(&self, class: &str) -> Rates {
         self.classes.get(class).copied().unwrap_or_default()
     }
 
-    /// Forgets what is of no more use.
+    /// Removes expired floors, rounds and suspicions.
     pub fn forget_old(&mut self, now: Duration) {
         self.floors.forget_old(now);
         self.rounds.forget_old(now);
         self.quarantine.forget_old(now);
     }
 
-    /// What is thought of a request.
+    /// How a request is to be treated, given the crashes that it was involved in.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         self.quarantine.verdict(fingerprint, now)
     }
--- a/crates/dragonflystep_core/src/broker/slots.rs
+++ b/crates/dragonflystep_core/src/broker/slots.rs
@@ -1,7 +1,7 @@
-//! Slots: every grant that may occupy an upstream, and what it occupies.
+//! Slots: every grant that may occupy an upstream, and the capacity that it uses.
 //!
-//! A slot leaves the table only on proof that its stream does not run: the entry's word, a confirmed
-//! cancel, or an engine report that is newer than the doubt.
+//! A slot is removed only on evidence that its stream does not run: a message of its entry node, a confirmed
+//! cancellation, or a load report that was sampled after the slot became unattended.
 
 use {
     crate::ids::{
@@ -13,88 +13,88 @@
     },
 };
 
-/// Most ended grants that are remembered, so that a late list does not bring one back.
+/// Maximum number of ended grants that are remembered, so that a late list of grants does not restore one.
 const ENDED_MEMORY: usize = 4096;
 
-/// Names a slot within its group.
+/// Identifies a slot within its group: the epoch and the number of its grant.
 pub type SlotKey = (Epoch, GrantId);
-/// Names an ask within its group: the entry, its request and its time stamp.
+/// Identifies an ask within its group: the entry node, its request and the ask's time stamp.
 pub type AskKey = (NodeId, RequestId, Duration);
 
 /// What is known of the stream in a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SlotState {
-    /// Granted; the entry has not said anything of it.
+    /// Granted; the entry node has not reported on it yet.
     Granted,
-    /// The entry has it and may not have dispatched it yet.
+    /// The entry node holds the grant but may not have dispatched the request yet.
     Listed,
-    /// The entry said that it runs.
+    /// The entry node reported that the stream runs.
     Running {
-        /// When that was first known.
+        /// When the broker first knew this.
         since: Duration,
     },
-    /// The entry let go of a stream that was not whole; the upstream may still run it.
+    /// The entry node gave up an incomplete stream, which the upstream may still run.
     Released {
-        /// When the entry told.
+        /// When the entry node reported this.
         since: Duration,
     },
-    /// The entry is gone, or never told what became of the grant.
+    /// The entry node is gone, or never reported what happened to the grant.
     Doubtful {
-        /// From this time on nothing can start under the grant.
+        /// Time after which nothing can be started under the grant.
         since: Duration,
     },
 }
 
-/// One slot.
+/// A grant that may occupy an upstream, with the request's data and what is known of its stream.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// The entry that has the grant.
+    /// Entry node that has the grant.
     pub entry: NodeId,
-    /// The entry's incarnation when it got the grant, where known.
+    /// Incarnation of the entry node when it got the grant; `None` if unknown.
     pub incarnation: Option<Incarnation>,
-    /// The upstream.
+    /// Upstream that was granted.
     pub upstream: UpstreamId,
-    /// Tier.
+    /// Tier of the request.
     pub tier: Tier,
-    /// Client account.
+    /// Client account of the request.
     pub account: AccountId,
-    /// Whether it may be cancelled.
+    /// Whether the stream may be cancelled to make room for a more urgent tier.
     pub cancellable: bool,
-    /// Length of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Longest answer.
+    /// Maximum length of the answer, in tokens.
     pub output_tokens: u32,
-    /// Prompt tokens that the upstream was thought to hold.
+    /// Prompt tokens that the upstream was predicted to have cached.
     pub cached_tokens: u32,
-    /// Time that its prompt is thought to take, once the upstream comes to it.
+    /// Predicted time to compute its prompt, in seconds, from when the upstream starts on it.
     pub prefill_seconds: f64,
-    /// Time that the upstream is thought to have needed for prompts before it.
+    /// Predicted time, at the grant, that the upstream needed for prompts granted earlier, in seconds.
     pub backlog_seconds: f64,
-    /// Fingerprint, where known.
+    /// Fingerprint of the request; `None` if the slot was learned from an entry node's list.
     pub fingerprint: Option<Fingerprint>,
-    /// Whether nothing else may run on the upstream.
+    /// Whether nothing else may run on the upstream, as the request is suspected of crashing upstreams.
     pub alone: bool,
-    /// When it was granted, or first heard of.
+    /// When it was granted, or first reported by its entry node.
     pub granted_at: Duration,
-    /// From this time on the entry can't start it any more.
+    /// Time from which the entry node can no longer start the request under this grant.
     pub dead_at: Duration,
-    /// When its entry last told that it holds it.
+    /// When its entry node last reported that it holds the grant.
     pub heard_at: Duration,
-    /// Tokens received so far, as the entry last told.
+    /// Tokens received so far, by the entry node's last report.
     pub tokens: u32,
-    /// Whether the entry was told to end it.
+    /// Whether the entry node was told to cancel the stream.
     pub cancelled: bool,
     /// What is known of the stream.
     pub state: SlotState,
 }
 
 impl Slot {
-    /// Tokens that the stream may come to hold on its upstream.
+    /// Tokens that the stream may hold on its upstream at most.
     pub fn held_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
 
-    /// Prompt tokens that are still to be computed, as far as is known.
+    /// Prompt tokens that are still to be computed; 0 once the first token came.
     pub fn prefill_tokens(&self) -> u64 {
         if self.tokens > 0 {
             return 0;
@@ -102,7 +102,7 @@
         u64::from(self.prompt_tokens.saturating_sub(self.cached_tokens))
     }
 
-    /// Time that its prompt still takes, as far as is known.
+    /// Predicted seconds of prefill; 0 once the first token came.
     pub fn prefill_seconds_left(&self) -> f64 {
         if self.tokens > 0 {
             return 0.0;
@@ -110,12 +110,12 @@
         self.prefill_seconds
     }
 
-    /// Whether its entry can't be asked any more, or did not tell.
+    /// Whether the entry node can no longer report on the stream, or did not.
     pub fn is_doubtful(&self) -> bool {
         matches!(self.state, SlotState::Doubtful { .. })
     }
 
-    /// Since when only the upstream can tell whether the stream runs; none while its entry can.
+    /// Since when only the upstream can tell whether the stream runs; `None` while its entry node can.
     pub fn unattended_since(&self) -> Option<Duration> {
         match self.state {
             SlotState::Released { since } | SlotState::Doubtful { since } => Some(since),
@@ -124,22 +124,22 @@
     }
 }
 
-/// What the slots of one upstream take.
+/// Capacity of one upstream that its slots use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Slots.
+    /// Number of slots, each of which may run a request.
     pub running: u32,
-    /// Tokens that they may come to hold.
+    /// Tokens that the streams may hold at most.
     pub held_tokens: u64,
-    /// Slots that run alone.
+    /// Number of slots that exclude other work on the upstream.
     pub alone: u32,
-    /// Prompt tokens of slots that have not shown a token yet and were not cached.
+    /// Uncached prompt tokens of the slots without a first token.
     pub prefill_tokens: u64,
-    /// Time that those are thought to take.
+    /// Predicted time to compute those prompts, in seconds.
     pub prefill_seconds: f64,
 }
 
-/// All slots of one group.
+/// All slots of one group, with the usage of each upstream kept up to date.
 #[derive(Debug, Default)]
 pub struct SlotTable {
     slots: BTreeMap<SlotKey, Slot>,
@@ -148,7 +148,7 @@
 }
 
 impl SlotTable {
-    /// Adds a slot.
+    /// Adds a slot, replacing one with the same key.
     pub fn insert(&mut self, key: SlotKey, slot: Slot) {
         self.remove(key);
         let usage = self.usage.entry(slot.upstream.clone()).or_default();
@@ -160,7 +160,7 @@
         self.slots.insert(key, slot);
     }
 
-    /// Takes a slot out whose stream is proved not to run; it may be listed again.
+    /// Removes a slot whose stream is known not to run; a later list of its entry node may restore it.
     pub fn remove(&mut self, key: SlotKey) -> Option<Slot> {
         let slot = self.slots.remove(&key)?;
         if let Some(usage) = self.usage.get_mut(&slot.upstream) {
@@ -176,7 +176,7 @@
         Some(slot)
     }
 
-    /// Takes a slot out that its entry said has ended; a late list can't bring it back.
+    /// Removes a slot whose stream has ended; a late list of its entry node cannot restore it.
     pub fn end(&mut self, key: SlotKey) -> Option<Slot> {
         self.ended.insert(key);
         if self.ended.len() > ENDED_MEMORY {
@@ -185,26 +185,26 @@
         self.remove(key)
     }
 
-    /// Keeps a slot whose entry let go of a stream that the upstream may still run.
+    /// Marks a slot as released: its entry node gave up the stream, but the upstream may still run it.
     pub fn release(&mut self, key: SlotKey, since: Duration) {
-        // Its prompt is not computed any more, or is done.
+        // Its prompt needs no more prefill: it was cancelled or is done.
         self.progressed(key, 1);
         if let Some(slot) = self.slots.get_mut(&key) {
             slot.state = SlotState::Released { since };
         }
     }
 
-    /// Whether the entry of the grant said that it has ended.
+    /// Whether the slot was ended, which a late list must not undo.
     pub fn has_ended(&self, key: SlotKey) -> bool {
         self.ended.contains(&key)
     }
 
-    /// A slot.
+    /// Looks up a slot.
     pub fn get(&self, key: SlotKey) -> Option<&Slot> {
         self.slots.get(&key)
     }
 
-    /// Notes how many tokens a stream has shown.
+    /// Records how many tokens a stream has produced, and updates the remaining prefill.
     pub fn progressed(&mut self, key: SlotKey, tokens: u32) {
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
@@ -218,17 +218,17 @@
         }
     }
 
-    /// A slot to change; what it takes must stay the same.
+    /// Mutable access to a slot. The fields that its usage is computed from must not be changed.
     pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut Slot> {
         self.slots.get_mut(&key)
     }
 
-    /// All slots.
+    /// Iterates over all slots in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (SlotKey, &Slot)> {
         self.slots.iter().map(|(key, slot)| (*key, slot))
     }
 
-    /// What the slots of an upstream take.
+    /// Capacity of an upstream that its slots use.
     pub fn usage(&self, upstream: &str) -> Usage {
         self.usage.get(upstream).copied().unwrap_or_default()
     }
@@ -238,20 +238,21 @@
         self.slots.len()
     }
 
-    /// Whether there is no slot.
+    /// Whether the group has no slots.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Whether any slot serves a tier below `tier`.
+    /// Whether any slot that is not released serves a tier less urgent than `tier`.
     pub fn serves_below(&self, tier: Tier) -> bool {
         let mut slots = self.slots.values();
         slots.any(|slot| slot.tier > tier && !matches!(slot.state, SlotState::Released { .. }))
     }
 
-    /// Streams on an upstream that surely ran at `sampled_at`: their entries told so before and after.
+    /// Number of streams that certainly ran on an upstream at `sampled_at`, since their entry nodes reported them as
+    /// running both before and after that time.
     ///
-    /// Streams that may have ended before are left out, so that a report is never explained by too many.
+    /// Streams that may have ended before are not counted, so that a report is never explained by too many streams.
     pub fn running_at(&self, upstream: &str, sampled_at: Duration, margin: Duration) -> u32 {
         let known = self.slots.values().filter(|slot| {
             slot.upstream.as_ref() == upstream
--- a/crates/dragonflystep_core/src/broker/stream.rs
+++ b/crates/dragonflystep_core/src/broker/stream.rs
@@ -1,4 +1,4 @@
-//! The life of granted streams, as their entries tell it.
+//! Life cycle of granted streams, as their entry nodes report it.
 
 use {
     super::{
@@ -21,17 +21,17 @@
     },
 };
 
-/// Tokens from which the pace of a stream is measured.
+/// Minimum number of tokens of a stream whose token gap is used to adjust the adaptive limit.
 const PACE_TOKENS: u32 = 8;
-/// How much one look at a stream moves the slowness of its upstream.
+/// Weight of a new observation in the moving average of an upstream's slowness.
 const SLOWNESS_STEP: f64 = 0.3;
-/// Slowness beyond which no difference is made.
+/// Upper bound of an observed slowness.
 const MOST_SLOWNESS: f64 = 20.0;
-/// Least time between two looks at a stream for its pace to be told.
+/// Minimum time between two reports of a stream from which its token gap is computed.
 const LEAST_LOOK_SECONDS: f64 = 0.2;
-/// Shortest gap between tokens that is reckoned with.
+/// Lower bound of an upstream's token gap in comparisons, in seconds.
 const LEAST_GAP_SECONDS: f64 = 1e-4;
-/// Silence, in usual gaps between tokens, from which a stream counts as slow.
+/// Silence of a stream, in multiples of the usual token gap, beyond which it counts as slow.
 const SILENT_GAPS: f64 = 20.0;
 
 impl Group {
@@ -41,7 +41,7 @@
         (slot.entry == *from).then_some(key)
     }
 
-    /// A request's bytes went out.
+    /// Handles an entry node's report that it has sent the request to the upstream.
     pub fn stream_started(&mut self, context: &Context<'_>, from: &NodeId, name: &GrantName) {
         let Some(key) = self.key_of(from, name) else {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A grant was not used and never will be.
+    /// Handles the return of a grant that was not used and never will be.
     pub fn grant_returned(
         &mut self,
         context: &mut Context<'_>,
@@ -76,7 +76,7 @@
         self.pump(context, shared);
     }
 
-    /// A stream ended.
+    /// Handles the end of a stream, as its entry node reports it.
     pub fn stream_finished(
         &mut self,
         context: &mut Context<'_>,
@@ -107,7 +107,7 @@
         self.pump(context, shared);
     }
 
-    /// Counts a stream that its entry let go of until the upstream has surely ended it.
+    /// Keeps counting a stream that its entry node gave up, until the upstream has certainly ended it.
     fn let_go(&mut self, context: &mut Context<'_>, key: SlotKey, cancellable: bool) {
         self.slots.release(key, context.now);
         if cancellable {
@@ -135,7 +135,7 @@
         let whole = finished.outcome == Outcome::Completed;
         let own_time = |after: Duration| {
             let ended_at = slot.granted_at + after;
-            // No prompt ends after it was told of.
+            // A prompt cannot have ended later than the report of its end arrived.
             model.prompt_ends.ended(key, ended_at.min(context.now));
             model.prompt_ends.own_time(key, slot.granted_at, ended_at)
         };
@@ -170,7 +170,7 @@
         self.teach_class(&class.0, &class.1);
     }
 
-    /// Upstreams of a class that have not shown their own pace yet are thought to be like it.
+    /// Applies the class rates to those upstreams of the class that have too few samples of their own.
     fn teach_class(&mut self, name: &str, class: &Rates) {
         for model in self.upstreams.values_mut() {
             if model.entry.class.as_ref() == name && !model.rates.is_own() {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// An entry told all that it holds.
+    /// Handles an entry node's complete list of the grants that it holds in this group.
     pub fn holding_told(
         &mut self,
         context: &mut Context<'_>,
@@ -188,10 +188,10 @@
         holding: &Holding,
     ) {
         if holding.epoch != self.epoch {
-            // A list made before the entry heard of this epoch may lack a grant that was under way.
+            // A list made before the entry node heard of this epoch may lack a grant that was in transit.
             return;
         }
-        // The pace is told by what changed since the last list.
+        // The token gap is computed from the change since the last list, so this comes before the slots are updated.
         self.note_pace(context, holding);
         let was_waited_for = self.takeover.heard(from);
         let mut listed = BTreeSet::new();
@@ -231,7 +231,7 @@
             self.slots.progressed(key, held.tokens);
             return;
         }
-        // What the report counted as unseen is seen now.
+        // A load report counted this stream as one without a slot; it has one now.
         let was_unseen = was_waited_for && key.0 < self.epoch;
         if was_unseen
             && let Some(model) = self.upstreams.get_mut(&held.upstream)
@@ -263,7 +263,7 @@
         self.slots.insert(key, slot);
     }
 
-    /// Notes the end of a prompt by the tokens that came since, at the usual pace.
+    /// Estimates when a stream's prompt was finished, from the tokens received since at the usual token gap.
     fn note_first_token(&mut self, now: Duration, key: SlotKey, held: &HeldGrant) {
         let is_first = self.slots.get(key).is_some_and(|slot| slot.tokens == 0);
         if !is_first || held.tokens == 0 {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Ends the grants of an entry that its complete list lacks.
+    /// Ends the grants of an entry node that are missing from its complete list.
     fn end_missing(
         &mut self,
         context: &mut Context<'_>,
@@ -299,24 +299,24 @@
             return;
         };
         if is_of_older_process(context.view, slot) {
-            // The new process under the same name knows nothing of the old one's streams. A grant that
-            // is under way to it may stand under the old one's number; it is listed once it is used.
+            // The new process under the same name does not know the old one's streams. A grant in transit to the
+            // new process may be recorded under the old incarnation; it is listed once it is used.
             if context.now >= slot.dead_at + context.view.tuning.round {
                 self.undecided.remove(&key);
                 self.doubt(context, key);
             }
             return;
         }
-        // An entry does not use a grant any more whose number it told as seen without listing it, so
-        // that a list is right however late it comes.
+        // An entry node never uses a grant whose number it reported as seen without listing it, so the list
+        // is valid however late it arrives.
         let seen = key.0 < self.epoch || key.1 <= seen_grant;
         let cancellable = slot.cancellable;
         match slot.state {
             SlotState::Released { .. } => {}
-            // What the entry told of the end was lost; it may have given the stream up.
+            // The report of the stream's end was lost; the entry node may have given the stream up.
             _ if seen => self.let_go(context, key, cancellable),
-            // The grant was lost on its way and is dead by now; a list that was made before a late
-            // start would lack it, too, but is not under way for so long.
+            // The grant was lost in transit and has expired by now. A list made before a late start would lack
+            // it as well, but is not in transit for so long.
             SlotState::Doubtful { since } => {
                 let lives = incarnation_of(context.view, &slot.entry).is_some();
                 if lives && context.now >= since + grant_life(context) {
@@ -327,7 +327,7 @@
         }
     }
 
-    /// From now on nobody can tell what became of the stream.
+    /// Marks a stream as doubtful: its entry node cannot report on it any more.
     pub(super) fn doubt(&mut self, context: &Context<'_>, key: SlotKey) {
         if let Some(slot) = self.slots.get_mut(key) {
             slot.state = match slot.state {
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Compares the pace of listed streams with the usual one of their upstreams.
+    /// Updates the slowness of upstreams by comparing the token gaps of listed streams with the usual ones.
     fn note_pace(&mut self, context: &Context<'_>, holding: &Holding) {
         if self.kind == ServiceKind::Plain {
             return;
@@ -362,7 +362,7 @@
         }
     }
 
-    /// How much slower than usual a listed stream runs; none when that can't be told.
+    /// Ratio of a listed stream's token gap to the upstream's usual one; `None` when it cannot be computed.
     fn slowness_of(&self, context: &Context<'_>, held: &HeldGrant) -> Option<f64> {
         let slot = self.slots.get((held.epoch, held.grant))?;
         let model = self.upstreams.get(&held.upstream)?;
@@ -381,13 +381,13 @@
     }
 }
 
-/// How long after a grant its entry may start it, with the margin for drift.
+/// How long after a grant its entry node may start the request, including the margin for clock drift.
 fn grant_life(context: &Context<'_>) -> Duration {
     context.view.tuning.grant_validity + context.view.tuning.drift_margin
 }
 
-/// State of a grant that its entry listed; streams of older epochs run, since unused grants of theirs
-/// are dropped.
+/// State of a grant that its entry node listed. Grants of older epochs count as running, since unused ones are
+/// dropped by their entry nodes.
 fn listed_state(context: &Context<'_>, runs: bool) -> SlotState {
     if !runs {
         return SlotState::Listed;
@@ -395,7 +395,7 @@
     SlotState::Running { since: context.now }
 }
 
-/// Whether the slot was granted to an earlier process of its entry.
+/// Whether the slot was granted to an earlier incarnation of its entry node.
 fn is_of_older_process(view: &View, slot: &Slot) -> bool {
     match (slot.incarnation, incarnation_of(view, &slot.entry)) {
         (Some(granted_to), Some(present)) => granted_to != present,
--- a/crates/dragonflystep_core/src/broker/summary.rs
+++ b/crates/dragonflystep_core/src/broker/summary.rs
@@ -1,4 +1,4 @@
-//! To whom a group's summary is sent: a bounded number a round, in rotation, and those that ask.
+//! Receivers of a group's summaries: a bounded number per round in rotation, and nodes that asked recently.
 
 use {
     crate::ids::NodeId,
@@ -9,16 +9,16 @@
     },
 };
 
-/// Receivers of a round besides those that asked lately.
+/// Number of receivers per round that are taken in rotation from all members.
 const IN_ROTATION: usize = 2;
-/// Receivers that asked lately.
+/// Maximum number of receivers that are chosen because they asked recently.
 const ASKED_LATELY: usize = 8;
-/// How long an ask counts as late.
+/// How long after its last ask a node counts as having asked recently.
 const LATELY: Duration = Duration::from_secs(2);
-/// Least time between two summaries because free slots came or went.
+/// Minimum time between two summaries that are sent because free slots came or went.
 const TURN_GAP: Duration = Duration::from_millis(250);
 
-/// Receivers of one group's summaries.
+/// Chooses the receivers of one group's summaries.
 #[derive(Debug, Default)]
 pub struct Audience {
     asked_at: BTreeMap<NodeId, Duration>,
@@ -28,7 +28,7 @@
 }
 
 impl Audience {
-    /// A node asked.
+    /// Records that a node sent an ask.
     pub fn asked(&mut self, node: &NodeId, now: Duration) {
         match self.asked_at.get_mut(node) {
             Some(asked_at) => *asked_at = now,
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Nodes that asked lately, at most a fixed number.
+    /// Nodes that asked recently, at most a fixed number.
     pub fn lately(&mut self, now: Duration) -> BTreeSet<NodeId> {
         self.asked_at
             .retain(|_, asked_at| now < asked_at.saturating_add(LATELY));
         self.asked_at.keys().take(ASKED_LATELY).cloned().collect()
     }
 
-    /// Receivers of a round: the nodes that asked lately, and the next ones of `members`.
+    /// Receivers of a round's summary: the nodes that asked recently, and the next members in rotation.
     pub fn round<T>(&mut self, members: &BTreeMap<NodeId, T>, now: Duration) -> BTreeSet<NodeId> {
         let mut receivers = self.lately(now);
         let after = self.cursor.take();
@@ -61,7 +61,7 @@
         receivers
     }
 
-    /// Whether it is worth telling that free slots came or went.
+    /// Records whether the group has free slots. Returns whether that changed and a summary should be sent now.
     pub fn turned(&mut self, has_free_slots: bool, now: Duration) -> bool {
         let told_lately = self
             .turned_at
--- a/crates/dragonflystep_core/src/broker/supply.rs
+++ b/crates/dragonflystep_core/src/broker/supply.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a group: what the catalogue says of them, and which of them take work.
+//! Upstreams of a group: changes in the catalogue, which upstreams accept work, crashes and cache reports.
 
 use {
     super::{
@@ -16,7 +16,7 @@
     std::time::Duration,
 };
 
-/// Whether an upstream takes new work, by everything that this node knows.
+/// Whether an upstream accepts new work: it is active in the catalogue and has not announced that it leaves.
 pub(super) fn takes_work(view: &View, upstream: &Upstream) -> bool {
     let Some(entry) = view.catalogue.upstream(&upstream.id) else {
         return false;
@@ -24,13 +24,13 @@
     entry.state == UpstreamState::Active && !view.leaving_upstreams.contains(&upstream.id)
 }
 
-/// Whether an ask fits into an empty upstream.
+/// Whether an ask fits into the limits of an empty upstream.
 fn fits(entry: &Upstream, ask: &Ask) -> bool {
     let limit = entry.limits.held_tokens;
     entry.limits.running_requests > 0 && limit.is_none_or(|limit| held_tokens(ask) <= limit)
 }
 
-/// What kind of service it is; one that the catalogue does not name is thought to be plain.
+/// Kind of a service; `Plain` if the catalogue does not contain it.
 pub(super) fn kind_of(view: &View, service: &str) -> ServiceKind {
     view.catalogue
         .service(service)
@@ -38,7 +38,7 @@
 }
 
 impl Group {
-    /// Takes over added, changed and removed upstreams.
+    /// Applies added, changed and removed upstreams of the catalogue.
     pub fn catalogue_applied(&mut self, context: &mut Context<'_>, shared: &Shared) {
         self.lowest_tier = shared.directory.lowest_tier();
         let entries = shared.directory.upstreams(&self.id);
@@ -84,14 +84,14 @@
         });
     }
 
-    /// Whether any upstream of the group may ever take an ask.
+    /// Whether any upstream of the group accepts work and is large enough for the ask.
     pub(super) fn can_ever_take(&self, view: &View, ask: &Ask) -> bool {
         self.upstreams
             .values()
             .any(|model| takes_work(view, &model.entry) && fits(&model.entry, ask))
     }
 
-    /// Where to ask when no upstream of the group may ever take an ask.
+    /// Refusal of an ask that fits no upstream of this group: names another group that could take it, if there is one.
     pub(super) fn nowhere_here(&self, view: &View, shared: &Shared, ask: &Ask) -> AskRefusal {
         let groups = shared.directory.groups(&self.service);
         let other = groups.iter().find(|group| {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// What the group knows of a crash of one of its upstreams with `fingerprint` on board, of which an entry saw
-    /// `seen` requests.
+    /// Combines an entry node's report of a crash, in which it saw `seen` of its own requests on the upstream, with
+    /// what the group knows of the upstream and of the request with this fingerprint.
     pub(super) fn crash(
         &self,
         upstream: &UpstreamId,
@@ -132,7 +132,7 @@
             .chain(failed)
             .max();
         let alone = seen <= 1 && last_grant.is_some_and(|(_, alone)| alone);
-        // A stream that broke off is kept as a released slot until the upstream has surely ended it.
+        // A stream that broke off stays as a released slot until the upstream has certainly ended it.
         let attended =
             on_upstream().filter(|slot| !matches!(slot.state, SlotState::Released { .. }));
         let failures = model.map_or(0, |model| model.failed_lately(now));
@@ -149,14 +149,14 @@
         }
     }
 
-    /// An upstream crashed: what it had cached is gone.
+    /// Clears the cache model of an upstream that crashed.
     pub fn upstream_crashed(&mut self, upstream: &str) {
         if let Some(model) = self.upstreams.get_mut(upstream) {
             model.cache.clear();
         }
     }
 
-    /// An upstream reported what it caches.
+    /// Handles an upstream's report of stored and evicted cache blocks.
     pub fn cache_reported(
         &mut self,
         upstream: &UpstreamId,
--- a/crates/dragonflystep_core/src/broker/takeover.rs
+++ b/crates/dragonflystep_core/src/broker/takeover.rs
@@ -1,32 +1,32 @@
-//! Takeover of a group: what the holders before may still have granted.
+//! Takeover of a group: bounds the streams that earlier holders may have left running on its upstreams.
 //!
-//! A new broker grants nothing until the grants of the older epochs are dead, and then only what is
-//! certainly free. A stream that nobody tells of is bounded by a report which the upstream sampled
-//! after that time: streams of older epochs can only become fewer from then on. Such a report is wanted
-//! even when every node has told what it holds, since a node tells nothing of a stream that it gave up
-//! and that its upstream still runs.
+//! A new broker grants nothing until the grants of older epochs have expired, and then only capacity that is
+//! certainly free. Streams that no node reports are bounded by a load report that the upstream sampled after that
+//! time, since the number of streams of older epochs can only fall from then on. Such a report is needed even when
+//! every node has listed its grants: a node does not list a stream that it gave up, but the upstream may still run it.
 //!
-//! A service may publish no load at all. Then only time tells: a stream that was left behind is over once
-//! its caller's longest deadline has passed, since nothing that goes on after that is of use to anybody.
-//! An upstream that never reported counts as explained after [`LONGEST_LEFT_BEHIND`], and so does a slot
-//! on it of which nobody tells; otherwise one lost node would take its room away for good. An upstream
-//! that has ever reported is bounded by its reports alone.
+//! A service may publish no load at all. Then only time gives certainty: a stream that was left behind counts as over
+//! once its caller's longest deadline has passed, since its answer is useless after that. An upstream that
+//! never reported counts as explained after [`LONGEST_LEFT_BEHIND`], and a slot on it that no node reports is removed
+//! after the same time; otherwise one lost node would block its capacity forever. An upstream that has ever
+//! reported is bounded by its reports alone.
 
 use {
     crate::ids::{Epoch, NodeId},
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// What a report must be newer than a doubt, for a stream whose bytes were on their way.
+/// Minimum age of a stream's last change of state at the sample time of a report that is to say something about it.
+/// It allows for requests that were in transit.
 pub const REPORT_MARGIN: Duration = Duration::from_millis(250);
 
-/// How long a stream that nobody tells of may run on an upstream that never reported its load.
+/// How long a stream that no node reports may run on an upstream that never reported its load.
 pub const LONGEST_LEFT_BEHIND: Duration = Duration::from_secs(60);
 
-/// How long a takeover may last before an operator is told.
+/// How long a takeover may last, after the old grants have expired, before a warning is logged.
 const LONG_TAKEOVER: Duration = Duration::from_secs(10);
 
-/// State of a takeover.
+/// Progress of a group's takeover.
 #[derive(Debug)]
 pub struct Takeover {
     dead_at: Duration,
@@ -37,7 +37,7 @@
 }
 
 impl Takeover {
-    /// No node granted for the group before.
+    /// A takeover that is already done, for a group that had no holder before.
     pub fn not_needed() -> Self {
         Self {
             dead_at: Duration::ZERO,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Takeover for an epoch: grants of older ones are dead at `dead_at`, `nodes` have to tell what they
-    /// hold; the first epoch has nobody before it.
+    /// Starts the takeover for an epoch. Grants of older epochs expire at `dead_at`, and `nodes` have to list their
+    /// grants. The first epoch needs no takeover.
     pub fn for_epoch(epoch: Epoch, dead_at: Duration, nodes: BTreeSet<NodeId>) -> Self {
         if epoch <= 1 {
             return Self::not_needed();
@@ -63,55 +63,55 @@
         }
     }
 
-    /// Whether grants of older epochs may still be started.
+    /// Whether entry nodes may still start requests under grants of older epochs.
     pub fn old_grants_live(&self, now: Duration) -> bool {
         now < self.dead_at
     }
 
-    /// Earliest sample time of a report that bounds the streams of older epochs.
+    /// Earliest sample time of a load report that bounds the streams of older epochs.
     pub fn bounded_from(&self) -> Duration {
         self.dead_at + REPORT_MARGIN
     }
 
-    /// When the grants of older epochs are dead.
+    /// When the grants of older epochs expire.
     pub fn dead_at(&self) -> Duration {
         self.dead_at
     }
 
-    /// A node told all that it holds; says whether it was waited for.
+    /// Records that a node has listed its grants. Returns whether the takeover was waiting for it.
     pub fn heard(&mut self, node: &NodeId) -> bool {
         self.waiting_on.remove(node)
     }
 
-    /// A node is gone and will not tell.
+    /// Stops waiting for a node that is gone.
     pub fn gone(&mut self, node: &NodeId) {
         self.waiting_on.remove(node);
     }
 
-    /// A node joined that may hold something.
+    /// Waits for a node that joined, since it may hold grants.
     pub fn joined(&mut self, node: &NodeId) {
         if !self.done {
             self.waiting_on.insert(node.clone());
         }
     }
 
-    /// Nodes that have not told what they hold.
+    /// Nodes that have not listed their grants yet.
     pub fn waiting_on(&self) -> impl Iterator<Item = &NodeId> {
         self.waiting_on.iter()
     }
 
-    /// Ends the takeover: nothing is hidden any more.
+    /// Ends the takeover; every stream that may run has a slot.
     pub fn finish(&mut self) {
         self.done = true;
         self.waiting_on.clear();
     }
 
-    /// Most streams that may run unseen on an upstream that appears now; none when nobody knows.
+    /// Maximum number of streams without a slot on an upstream that is added now; `None` if unknown.
     pub fn unexplained_on_new_upstream(&self) -> Option<u32> {
         (!self.needed).then_some(0)
     }
 
-    /// Whether the takeover lasts so long that an operator should know; told once.
+    /// Whether the takeover has lasted so long that a warning is due; true at most once.
     pub fn is_long(&mut self, now: Duration) -> bool {
         if self.warned || now < self.dead_at + LONG_TAKEOVER {
             return false;
@@ -120,7 +120,7 @@
         true
     }
 
-    /// Whether nothing is hidden any more.
+    /// Whether the takeover has ended or was not needed.
     pub fn is_done(&self) -> bool {
         self.done
     }
--- a/crates/dragonflystep_core/src/broker/upstream.rs
+++ b/crates/dragonflystep_core/src/broker/upstream.rs
@@ -1,4 +1,4 @@
-//! What a broker knows of one upstream.
+//! A broker's model of one upstream: speed, cache, limit, load reports and recent failures.
 
 use {
     super::{
@@ -12,21 +12,21 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A load report, with the time at which the upstream sampled it.
+/// A load report of an upstream, with the time at which it was sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When it was sampled, on the node's clock.
+    /// When the upstream sampled it, on this node's clock.
     pub sampled_at: Duration,
-    /// When it was read.
+    /// When this node received it.
     pub read_at: Duration,
-    /// Requests that ran.
+    /// Number of requests on the upstream, including those in its own queue.
     pub running: u32,
 }
 
-/// How long a broken stream counts as on board of a crash.
+/// How long a stream that broke off counts as one that ran on the upstream when it crashed.
 const CRASH_WINDOW: Duration = Duration::from_secs(3);
 
-/// A stream that broke off.
+/// A stream that broke off, kept to attribute a crash to it.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     at: Duration,
@@ -35,40 +35,40 @@
     alone: bool,
 }
 
-/// What is known of one upstream.
+/// State and predictions of one upstream of a held group.
 #[derive(Debug)]
 pub struct UpstreamModel {
     /// Its catalogue entry.
     pub entry: Arc<Upstream>,
-    /// How fast it works.
+    /// Learned prefill and decode speed.
     pub rates: Rates,
-    /// What it is thought to have cached.
+    /// Predicted content of its prefix cache.
     pub cache: PrefixCache,
-    /// How many requests it runs well.
+    /// Adaptive concurrency limit.
     pub limit: AdaptiveLimit,
-    /// Present gap between tokens over the usual one; 1 is as usual.
+    /// Ratio of the current token gap to the usual one; 1 is normal.
     pub slowness: f64,
-    /// The oldest report that was not yet compared with the slots.
+    /// Oldest load report that was not yet compared with the slots.
     pub pending_report: Option<LoadReport>,
-    /// Whether it ever reported its load.
+    /// Whether it has ever reported its load.
     pub has_reported: bool,
-    /// Most streams that may run besides the slots in the table; none when nobody knows.
+    /// Maximum number of running streams that have no slot; `None` if unknown, and then nothing is granted here.
     pub unexplained: Option<u32>,
-    /// A report that was sampled earlier does not bound them.
+    /// Reports sampled before this time do not bound `unexplained`.
     pub unexplained_as_of: Duration,
-    /// A request that has to run alone here as soon as the upstream is empty.
+    /// Suspect ask that gets this upstream exclusively once it is empty; other asks get no grants here until then.
     pub reserved_for: Option<AskKey>,
-    /// Until when it is thought to compute the prompts that it was granted.
+    /// Predicted time at which the granted prompts are computed.
     pub prefill_until: Duration,
-    /// When it came to the end of its prompts.
+    /// End times of its latest prompts.
     pub prompt_ends: PromptEnds,
-    /// When it last showed its pace.
+    /// When a stream on it last ended and its rates were updated.
     pub learned_at: Duration,
     failures: Vec<Failure>,
 }
 
 impl UpstreamModel {
-    /// Model of an upstream of a class with these rates.
+    /// Creates the model of an upstream, starting from the rates of its class.
     pub fn new(entry: Arc<Upstream>, class: &Rates, unexplained: Option<u32>) -> Self {
         Self {
             limit: AdaptiveLimit::new(entry.limits.running_requests),
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Takes over a changed catalogue entry.
+    /// Applies a changed catalogue entry.
     pub fn set_entry(&mut self, entry: Arc<Upstream>) {
         self.limit.set_ceiling(entry.limits.running_requests);
         self.entry = entry;
     }
 
-    /// Requests that may run now.
+    /// Number of requests that may run at the same time: the adaptive limit if the policy uses it, else the ceiling.
     pub fn running_limit(&self, policy: &PolicyParts) -> u32 {
         if policy.adaptive_limit {
             self.limit.requests()
@@ -103,21 +103,22 @@
         }
     }
 
-    /// Notes that a prompt was granted which takes this long to compute.
+    /// Adds a granted prompt with this predicted prefill time to the backlog.
     pub fn prefill_granted(&mut self, now: Duration, prefill_seconds: f64) {
         let after = self.prefill_until.max(now);
         self.prefill_until = after + Duration::from_secs_f64(prefill_seconds.max(0.0));
     }
 
-    /// Notes that a prompt will not be computed.
+    /// Subtracts the predicted prefill time of a returned grant from the backlog.
     pub fn prefill_returned(&mut self, prefill_seconds: f64) {
         let returned = Duration::from_secs_f64(prefill_seconds.max(0.0));
         self.prefill_until = self.prefill_until.saturating_sub(returned);
     }
 
-    /// Notes a report for a later comparison with the slots.
+    /// Keeps a load report for a later comparison with the slots.
     ///
-    /// A pending one goes first, unless it was sampled before `useful_from` and so bounds nothing.
+    /// A report that is already pending is kept instead, unless it was sampled before `useful_from` and so bounds
+    /// nothing.
     pub fn load_reported(&mut self, report: LoadReport, useful_from: Duration) {
         self.has_reported = true;
         let keeps = |pending: &LoadReport| pending.sampled_at >= useful_from;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Notes that a stream broke off.
+    /// Records that a stream broke off.
     pub fn stream_failed(&mut self, now: Duration, slot: &Slot) {
         self.failures
             .retain(|failure| now < failure.at + CRASH_WINDOW);
@@ -138,12 +139,12 @@
         });
     }
 
-    /// Streams that broke off so lately that they may be of one crash.
+    /// Number of streams that broke off so recently that one crash may have caused it.
     pub fn failed_lately(&self, now: Duration) -> u32 {
         u32::try_from(self.failures_lately(now).count()).unwrap_or(u32::MAX)
     }
 
-    /// When a request that broke off lately was granted, and whether it had the upstream for itself.
+    /// When a request that broke off recently was granted, and whether it had the upstream exclusively.
     pub fn failed_grant(
         &self,
         fingerprint: Fingerprint,
