--- a/crates/dragonflystep_core/src/broker/adaptive_limit.rs
+++ b/crates/dragonflystep_core/src/broker/adaptive_limit.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 /// Factor that the limit is multiplied by after a load report that shows requests in the engine's own queue.
-pub const AFTER_ENGINE_QUEUE: f64 = 0.85;
+pub const ENGINE_QUEUE_DECREASE: f64 = 0.85;
 /// Factor that the limit is multiplied by after a stream whose token gap was too long.
-pub const AFTER_SLOW_STREAM: f64 = 0.93;
+pub const SLOW_STREAM_DECREASE: f64 = 0.93;
 /// Factor by which a token gap may exceed the promised gap before the limit decreases.
 const GAP_TOLERANCE: f64 = 1.1;
 /// Factor by which a token gap may exceed the upstream's best gap, if the upstream cannot reach the promised gap.
-const REACHABLE_GAP: f64 = 1.5;
+const BEST_GAP_TOLERANCE: f64 = 1.5;
 /// Growth of the remembered best gap per sample, so that it adapts when the upstream changes.
-const GAP_FORGETTING: f64 = 1.002;
+const BEST_GAP_GROWTH: f64 = 1.002;
 /// Minimum time between two decreases, so that one cause reduces the limit only once.
 const COOLDOWN: Duration = Duration::from_secs(1);
 
@@ -91,23 +91,23 @@
     /// Adjusts the limit by the mean token gap of an ended stream, whose tier promises a gap of `promised`.
     ///
     /// `running` is the number of requests in the upstream's slots at that time.
-    pub fn gap_measured(
+    pub fn record_gap(
         &mut self,
         now: Duration,
         gap_seconds: f64,
         promised: Option<Duration>,
         running: u32,
     ) {
-        let best = self.best_gap_seconds.unwrap_or(gap_seconds) * GAP_FORGETTING;
+        let best = self.best_gap_seconds.unwrap_or(gap_seconds) * BEST_GAP_GROWTH;
         let best = best.min(gap_seconds);
         self.best_gap_seconds = Some(best);
         // A lower limit does not help an upstream that is slow even with few streams.
         let reachable = promised.map(|promise| {
             let promise_seconds = promise.as_secs_f64() * GAP_TOLERANCE;
-            promise_seconds.max(best * REACHABLE_GAP)
+            promise_seconds.max(best * BEST_GAP_TOLERANCE)
         });
         if reachable.is_some_and(|reachable| gap_seconds > reachable) {
-            self.decrease(now, AFTER_SLOW_STREAM);
+            self.decrease(now, SLOW_STREAM_DECREASE);
         } else {
             self.increase(running);
         }
--- a/crates/dragonflystep_core/src/broker/choice.rs
+++ b/crates/dragonflystep_core/src/broker/choice.rs
@@ -15,17 +15,17 @@
 const PREFILL_WEIGHT: f64 = 8.0;
 /// Longest prefill backlog at which an engine still gets new requests. With more, prompts would queue inside the
 /// engine, which knows no priorities.
-pub const PREFILL_AHEAD: Duration = Duration::from_millis(500);
+pub const MAX_PREFILL_BACKLOG: Duration = Duration::from_millis(500);
 /// Relative slowdown of decoding on a full upstream compared with an empty one.
-const FULL_SLOWDOWN: f64 = 0.5;
+const FULL_LOAD_SLOWDOWN: f64 = 0.5;
 /// Relative difference below which two scores count as equal, so that brokers do not all pick the same upstream.
-const TIE_SHARE: f64 = 0.05;
+const TIE_TOLERANCE: f64 = 0.05;
 /// Slowness from which an upstream counts as a straggler, used only when no other has capacity.
 const STRAGGLER_SLOWNESS: f64 = 4.0;
 
 /// Free capacity of an upstream for one ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Number of further requests that the upstream may run.
     pub requests: u32,
     /// Number of further tokens that the upstream may hold; `None` if it has no token limit.
@@ -34,21 +34,21 @@
 
 /// Computes the free capacity of an upstream: its limits minus its slots and minus the streams without a slot that
 /// may still run there.
-pub fn room(model: &UpstreamModel, usage: Usage, policy: &PolicyParts) -> Room {
-    let Some(unexplained) = model.unexplained else {
-        return Room {
+pub fn free_capacity(model: &UpstreamModel, usage: Usage, policy: &PolicyParts) -> FreeCapacity {
+    let Some(untracked) = model.untracked else {
+        return FreeCapacity {
             requests: 0,
             tokens: Some(0),
         };
     };
-    let taken = usage.running.saturating_add(unexplained);
+    let taken = usage.running.saturating_add(untracked);
     let requests = model.running_limit(policy).saturating_sub(taken);
     let tokens = model.entry.limits.held_tokens.map(|limit| {
         // The token count of a stream without a slot is unknown, so it is assumed to use the whole limit.
-        let hidden = if unexplained > 0 { limit } else { 0 };
+        let hidden = if untracked > 0 { limit } else { 0 };
         limit.saturating_sub(usage.held_tokens + hidden)
     });
-    Room { requests, tokens }
+    FreeCapacity { requests, tokens }
 }
 
 /// Tokens that the ask's stream may hold at most: its prompt and its longest answer.
@@ -77,7 +77,7 @@
 
 /// Borrowed state of a group that the selection of an upstream reads.
 #[derive(Debug)]
-pub struct Chooser<'a> {
+pub struct Selector<'a> {
     /// Kind of the group's service.
     pub kind: ServiceKind,
     /// Models of the group's upstreams.
@@ -90,27 +90,37 @@
     pub now: Duration,
 }
 
-impl Chooser<'_> {
-    /// Whether an upstream has capacity for an ask. With `alone`, the upstream must also be empty.
-    pub fn has_room(&self, model: &UpstreamModel, key: &AskKey, ask: &Ask, alone: bool) -> bool {
+impl Selector<'_> {
+    /// Whether an upstream has capacity for an ask. With `exclusive`, the upstream must also be empty.
+    pub fn has_capacity(
+        &self,
+        model: &UpstreamModel,
+        key: &AskKey,
+        ask: &Ask,
+        exclusive: bool,
+    ) -> bool {
         let usage = self.slots.usage(&model.entry.id);
         let reserved = model.reserved_for.as_ref();
-        if usage.alone > 0 || reserved.is_some_and(|other| other != key) {
+        if usage.exclusive > 0 || reserved.is_some_and(|other| other != key) {
             return false;
         }
-        if alone && (usage.running > 0 || model.unexplained != Some(0)) {
+        if exclusive && (usage.running > 0 || model.untracked != Some(0)) {
             return false;
         }
         if self.is_prefilling(model) {
             return false;
         }
-        let room = room(model, usage, self.policy);
-        room.requests > 0 && room.tokens.is_none_or(|tokens| tokens >= held_tokens(ask))
+        let capacity = free_capacity(model, usage, self.policy);
+        capacity.requests > 0
+            && capacity
+                .tokens
+                .is_none_or(|tokens| tokens >= held_tokens(ask))
     }
 
     /// Whether the engine's prefill backlog is so long that a further prompt would queue inside the engine.
     pub fn is_prefilling(&self, model: &UpstreamModel) -> bool {
-        self.policy.adaptive_limit && self.prefill_backlog(model) > PREFILL_AHEAD.as_secs_f64()
+        self.policy.adaptive_limit
+            && self.prefill_backlog(model) > MAX_PREFILL_BACKLOG.as_secs_f64()
     }
 
     /// Predicts the times of an ask on an upstream, whether or not the upstream has capacity for it.
@@ -127,7 +137,7 @@
             1.0
         };
         let prefill = estimate.prefill_seconds * slowness;
-        let decode = estimate.decode_seconds * slowness * (1.0 + FULL_SLOWDOWN * full);
+        let decode = estimate.decode_seconds * slowness * (1.0 + FULL_LOAD_SLOWDOWN * full);
         let backlog = self.prefill_backlog(model) * slowness;
         Candidate {
             upstream: model.entry.id.clone(),
@@ -167,7 +177,7 @@
             .fold(f64::INFINITY, f64::min);
         let mut equal: Vec<Candidate> = eligible
             .into_iter()
-            .filter(|each| each.score_seconds <= best * (1.0 + TIE_SHARE))
+            .filter(|each| each.score_seconds <= best * (1.0 + TIE_TOLERANCE))
             .collect();
         // Among equally fast candidates, the one that needs the least prefill is preferred.
         let most_cached = equal.iter().map(|each| each.cached_tokens).max()?;
--- a/crates/dragonflystep_core/src/broker/directory.rs
+++ b/crates/dragonflystep_core/src/broker/directory.rs
@@ -69,7 +69,7 @@
     }
 
     /// Rank of the least urgent tier, which is the highest rank number; 0 without tiers.
-    pub fn lowest_tier(&self) -> Tier {
+    pub fn least_urgent_tier(&self) -> Tier {
         self.token_gap_of_tier
             .keys()
             .next_back()
--- a/crates/dragonflystep_core/src/broker/fairness.rs
+++ b/crates/dragonflystep_core/src/broker/fairness.rs
@@ -10,7 +10,7 @@
 };
 
 /// Maximum number of accounts without queued asks whose tag is kept.
-const RESTING_MEMORY: usize = 1024;
+const MAX_IDLE_ACCOUNTS: usize = 1024;
 /// Units of virtual time per second of cost at weight 1.
 const UNITS_PER_SECOND: f64 = 1e6;
 
@@ -23,14 +23,14 @@
     now: VirtualTime,
     waiting: BTreeSet<(VirtualTime, AccountId)>,
     tags: BTreeMap<AccountId, VirtualTime>,
-    resting: BTreeSet<(VirtualTime, AccountId)>,
+    idle: BTreeSet<(VirtualTime, AccountId)>,
 }
 
 impl FairOrder {
     /// Adds an account that now has queued asks; its tag is raised to the current virtual time.
     pub fn join(&mut self, account: &AccountId) {
         let tag = self.tag(account);
-        self.resting.remove(&(tag, account.clone()));
+        self.idle.remove(&(tag, account.clone()));
         let start = tag.max(self.now);
         self.tags.insert(account.clone(), start);
         self.waiting.insert((start, account.clone()));
@@ -42,8 +42,8 @@
         if !self.waiting.remove(&(tag, account.clone())) {
             return;
         }
-        self.resting.insert((tag, account.clone()));
-        self.forget_rested();
+        self.idle.insert((tag, account.clone()));
+        self.evict_idle();
     }
 
     /// Iterates over the accounts with queued asks, starting with the next one to serve.
@@ -83,12 +83,12 @@
         self.tags.get(account).copied().unwrap_or(0)
     }
 
-    fn forget_rested(&mut self) {
-        while let Some((tag, _)) = self.resting.first() {
-            if *tag > self.now && self.resting.len() <= RESTING_MEMORY {
+    fn evict_idle(&mut self) {
+        while let Some((tag, _)) = self.idle.first() {
+            if *tag > self.now && self.idle.len() <= MAX_IDLE_ACCOUNTS {
                 return;
             }
-            let Some((_, account)) = self.resting.pop_first() else {
+            let Some((_, account)) = self.idle.pop_first() else {
                 return;
             };
             self.tags.remove(&account);
--- a/crates/dragonflystep_core/src/broker/grant.rs
+++ b/crates/dragonflystep_core/src/broker/grant.rs
@@ -2,15 +2,15 @@
 
 use {
     super::{
-        choice::{Candidate, PREFILL_AHEAD},
+        choice::{Candidate, MAX_PREFILL_BACKLOG},
         group::Group,
-        patience::MOST_PASSED_OVER,
-        prediction::USUAL_ANSWER,
+        patience::MAX_DEFERRED_ASKS,
+        prediction::EXPECTED_ANSWER_SHARE,
         quarantine::Verdict,
         queue::QueuedAsk,
         shared::Shared,
         slots::{AskKey, Slot, SlotState},
-        supply::takes_work,
+        supply::accepts_work,
     },
     crate::{
         catalogue::ServiceKind,
@@ -23,7 +23,7 @@
 };
 
 /// Margin added to a predicted time, so that a timer does not fire just before it.
-const WAKE_MARGIN: Duration = Duration::from_millis(1);
+const TIMER_MARGIN: Duration = Duration::from_millis(1);
 
 /// The current incarnation of a node in this node's view; `None` if the node is not a known member.
 pub(super) fn incarnation_of(view: &View, node: &NodeId) -> Option<Incarnation> {
@@ -42,22 +42,22 @@
     }
 
     /// Grants slots to waiting asks until either the asks or the free slots run out.
-    pub(super) fn pump(&mut self, context: &mut Context<'_>, shared: &mut Shared) {
+    pub(super) fn grant_waiting(&mut self, context: &mut Context<'_>, shared: &mut Shared) {
         let floor = shared.floors.floor(&self.service, context.now);
-        self.place_suspects(context, shared, floor);
+        self.grant_isolated(context, shared, floor);
         let mut passed_over = BTreeSet::new();
-        while self.may_grant(context) && passed_over.len() < MOST_PASSED_OVER {
+        while self.may_grant(context) && passed_over.len() < MAX_DEFERRED_ASKS {
             let next = self.queue.next(floor, &passed_over);
             let Some(key) = next.map(|queued| queued.key.clone()) else {
                 return;
             };
-            if self.stood_aside(context, shared, &key) {
+            if self.move_to_isolation(context, shared, &key) {
                 continue;
             }
             let Some(chosen) = self.choose(context, &key, false) else {
                 return;
             };
-            if self.gave_up_hopeless(context, &key) {
+            if self.refuse_if_unreachable(context, &key) {
                 continue;
             }
             let queued = self.queue.get(&key);
@@ -74,7 +74,7 @@
 
     /// Removes an ask from the normal queue if its request came under suspicion while it waited. Returns whether it
     /// was removed.
-    fn stood_aside(
+    fn move_to_isolation(
         &mut self,
         context: &mut Context<'_>,
         shared: &mut Shared,
@@ -90,7 +90,7 @@
                 if let Some(queued) = self.queue.remove(key) {
                     self.isolation.push(queued);
                 }
-                self.place_suspects(context, shared, Tier::MAX);
+                self.grant_isolated(context, shared, Tier::MAX);
             }
             Verdict::Quarantined => {
                 let code = RefusalCode::Quarantined;
@@ -103,7 +103,7 @@
 
     /// Refuses an ask that no upstream can answer before its deadline any more, although one has capacity. Returns
     /// whether the ask was refused.
-    fn gave_up_hopeless(&mut self, context: &mut Context<'_>, key: &AskKey) -> bool {
+    fn refuse_if_unreachable(&mut self, context: &mut Context<'_>, key: &AskKey) -> bool {
         let Some(queued) = self.queue.get(key) else {
             return false;
         };
@@ -111,7 +111,8 @@
         let policy = &context.view.tuning.policy;
         // Prefill for an answer that would come too late is wasted.
         let ask = &queued.ask;
-        if !policy.early_refusal || !self.is_unreachable(context.view, ask, time_left, USUAL_ANSWER)
+        if !policy.early_refusal
+            || !self.is_unreachable(context.view, ask, time_left, EXPECTED_ANSWER_SHARE)
         {
             return false;
         }
@@ -121,7 +122,7 @@
     }
 
     /// Grants an empty upstream to the first isolated ask, or reserves one for it.
-    fn place_suspects(&mut self, context: &mut Context<'_>, shared: &Shared, floor: Tier) {
+    fn grant_isolated(&mut self, context: &mut Context<'_>, shared: &Shared, floor: Tier) {
         for model in self.upstreams.values_mut() {
             model.reserved_for = None;
         }
@@ -150,7 +151,7 @@
     /// Reserves the upstream with the fewest streams for a suspect ask: it gets no other work until it is empty.
     fn reserve(&mut self, view: &View, key: &AskKey) {
         let emptiest = self
-            .working(view)
+            .accepting_upstreams(view)
             .map(|model| {
                 let usage = self.slots.usage(&model.entry.id);
                 (usage.running, model.entry.id.clone())
@@ -162,17 +163,22 @@
         }
     }
 
-    /// Selects the best upstream with capacity for a waiting ask; with `alone`, only empty upstreams qualify.
-    fn choose(&self, context: &mut Context<'_>, key: &AskKey, alone: bool) -> Option<Candidate> {
+    /// Selects the best upstream with capacity for a waiting ask; with `exclusive`, only empty upstreams qualify.
+    fn choose(
+        &self,
+        context: &mut Context<'_>,
+        key: &AskKey,
+        exclusive: bool,
+    ) -> Option<Candidate> {
         let queued = self.queue.get(key).or_else(|| self.isolation.get(key))?;
         let policy = &context.view.tuning.policy;
-        let chooser = self.chooser(policy, context.now);
+        let selector = self.selector(policy, context.now);
         let candidates: Vec<Candidate> = self
-            .working(context.view)
-            .filter(|model| chooser.has_room(model, key, &queued.ask, alone))
-            .map(|model| chooser.candidate(model, &queued.ask))
+            .accepting_upstreams(context.view)
+            .filter(|model| selector.has_capacity(model, key, &queued.ask, exclusive))
+            .map(|model| selector.candidate(model, &queued.ask))
             .collect();
-        chooser.choose(candidates, context.random)
+        selector.choose(candidates, context.random)
     }
 
     fn grant(
@@ -180,10 +186,10 @@
         context: &mut Context<'_>,
         queued: QueuedAsk,
         chosen: Candidate,
-        alone: bool,
+        exclusive: bool,
     ) {
         let tuning = &context.view.tuning;
-        let dead_at = context.now + tuning.grant_validity + tuning.drift_margin;
+        let expires_at = context.now + tuning.grant_validity + tuning.drift_margin;
         let queued_for = context.now.saturating_sub(queued.received_at);
         let valid_for = queued_for + tuning.grant_validity;
         let grant = self.next_grant;
@@ -201,16 +207,16 @@
             prefill_seconds: chosen.prefill_seconds,
             backlog_seconds: chosen.backlog_seconds,
             fingerprint: Some(queued.ask.fingerprint),
-            alone,
+            exclusive,
             granted_at: context.now,
-            heard_at: context.now,
+            last_reported_at: context.now,
             tokens: 0,
             cancelled: false,
-            dead_at,
+            expires_at,
             state: SlotState::Granted,
         };
         self.slots.insert((self.epoch, grant), slot);
-        self.note_prompt(context.now, &chosen, &queued.ask);
+        self.record_prompt(context.now, &chosen, &queued.ask);
         let granted = Message::Granted(Granted {
             ask: queued.ask.name,
             grant: GrantName {
@@ -223,13 +229,14 @@
             queued_for,
             cached_tokens: chosen.cached_tokens,
         });
-        self.settled.insert(queued.key.clone(), granted.clone());
+        self.answered_asks
+            .insert(queued.key.clone(), granted.clone());
         context.send(&queued.key.0, granted);
     }
 
-    fn note_prompt(&mut self, now: Duration, chosen: &Candidate, ask: &Ask) {
+    fn record_prompt(&mut self, now: Duration, chosen: &Candidate, ask: &Ask) {
         if let Some(model) = self.upstreams.get_mut(&chosen.upstream) {
-            model.cache.used(&ask.prefix_blocks);
+            model.cache.record_used(&ask.prefix_blocks);
             if self.kind == ServiceKind::Engine {
                 model.prefill_granted(now, chosen.prefill_seconds);
             }
@@ -237,10 +244,10 @@
     }
 
     /// Refuses all waiting asks whose deadline has passed.
-    pub(super) fn refuse_passed(&mut self, context: &mut Context<'_>) {
-        let mut passed = self.queue.passed(context.now);
-        passed.extend(self.isolation.passed(context.now));
-        for key in passed {
+    pub(super) fn refuse_expired(&mut self, context: &mut Context<'_>) {
+        let mut expired = self.queue.expired(context.now);
+        expired.extend(self.isolation.expired(context.now));
+        for key in expired {
             let code = RefusalCode::DeadlinePassed;
             self.refuse_waiting(context, &key, AskRefusal::Final { code }, None);
         }
@@ -248,35 +255,35 @@
 
     /// Sets the group's timer for the earliest of its next events: the next round, a deadline, the end of a tier floor,
     /// or the time when an engine's prefill backlog is short enough for a new prompt.
-    pub(super) fn arm(&mut self, context: &mut Context<'_>, shared: &Shared) {
+    pub(super) fn arm_timer(&mut self, context: &mut Context<'_>, shared: &Shared) {
         let times: [Option<Duration>; 5] = [
             Some(self.next_round_at),
             self.queue.earliest_deadline(),
             self.isolation.earliest_deadline(),
             shared.floors.next_change(&self.service, context.now),
-            self.next_prompt_at(context.now),
+            self.next_prefill_at(context.now),
         ];
         if let Some(at) = times.into_iter().flatten().min() {
-            self.wake(context, at.max(context.now));
+            self.wake_at(context, at.max(context.now));
         }
     }
 
-    /// When the first engine's prefill backlog drops to [`PREFILL_AHEAD`]; `None` when no ask is queued.
-    fn next_prompt_at(&self, now: Duration) -> Option<Duration> {
+    /// When the first engine's prefill backlog drops to [`MAX_PREFILL_BACKLOG`]; `None` when no ask is queued.
+    fn next_prefill_at(&self, now: Duration) -> Option<Duration> {
         if self.queue.is_empty() {
             return None;
         }
         let ends = self.upstreams.values().map(|model| model.prefill_until);
-        ends.map(|end| end.saturating_sub(PREFILL_AHEAD))
+        ends.map(|end| end.saturating_sub(MAX_PREFILL_BACKLOG))
             .filter(|at| *at > now)
             .min()
-            .map(|at| at + WAKE_MARGIN)
+            .map(|at| at + TIMER_MARGIN)
     }
 
     /// Whether an upstream belongs to the group and accepts new work.
-    pub(super) fn upstream_takes_work(&self, view: &View, upstream: &UpstreamId) -> bool {
+    pub(super) fn upstream_accepts_work(&self, view: &View, upstream: &UpstreamId) -> bool {
         self.upstreams
             .get(upstream)
-            .is_some_and(|model| takes_work(view, &model.entry))
+            .is_some_and(|model| accepts_work(view, &model.entry))
     }
 }
--- a/crates/dragonflystep_core/src/broker/group.rs
+++ b/crates/dragonflystep_core/src/broker/group.rs
@@ -3,14 +3,14 @@
 use {
     super::{
         isolation::Isolation,
-        prediction::SHORT_ANSWER,
+        prediction::MIN_ANSWER_SHARE,
         quarantine::Verdict,
         queue::{Queue, QueuedAsk},
-        settled::SettledAsks,
+        settled::AnsweredAsks,
         shared::Shared,
         slots::{AskKey, SlotKey, SlotTable},
-        summary::Audience,
-        supply::kind_of,
+        summary::SummaryReceivers,
+        supply::service_kind,
         takeover::Takeover,
         upstream::UpstreamModel,
     },
@@ -30,7 +30,7 @@
 };
 
 /// Time beyond twice the predicted wait after which the entry node gets another `Queued` message for its ask.
-const NEWS_AFTER: Duration = Duration::from_secs(1);
+const UPDATE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Scheduling state of a group whose lease this node holds.
 #[derive(Debug)]
@@ -43,22 +43,22 @@
     pub(super) slots: SlotTable,
     /// Slots of an entry node that was restarted, where it is not known whether the ended process or its successor has
     /// the grant. The successor's next `Holding` list tells.
-    pub(super) undecided: BTreeSet<SlotKey>,
+    pub(super) unattributed: BTreeSet<SlotKey>,
     pub(super) queue: Queue,
     pub(super) isolation: Isolation,
     pub(super) upstreams: BTreeMap<UpstreamId, UpstreamModel>,
-    pub(super) settled: SettledAsks,
-    pub(super) audience: Audience,
+    pub(super) answered_asks: AnsweredAsks,
+    pub(super) summary_receivers: SummaryReceivers,
     pub(super) next_grant: GrantId,
     pub(super) mean_service_seconds: Option<f64>,
     pub(super) next_round_at: Duration,
     pub(super) armed_at: Option<Duration>,
-    pub(super) lowest_tier: Tier,
+    pub(super) least_urgent_tier: Tier,
 }
 
 impl Group {
     /// Creates the state of a group whose lease this node acquired, and starts the takeover.
-    pub fn acquired(
+    pub fn lease_acquired(
         context: &mut Context<'_>,
         shared: &Shared,
         id: &GroupId,
@@ -69,38 +69,38 @@
             .first()
             .map_or_else(|| "".into(), |each| each.service.clone());
         let tuning = &context.view.tuning;
-        let dead_at = context.now + tuning.grant_validity + tuning.drift_margin;
+        let expires_at = context.now + tuning.grant_validity + tuning.drift_margin;
         let mut nodes: BTreeSet<NodeId> = context.view.members.keys().cloned().collect();
         nodes.insert(context.view.node.id.clone());
         let fair = tuning.policy.fairness;
         let mut group = Self {
             id: id.clone(),
-            kind: kind_of(context.view, &service),
+            kind: service_kind(context.view, &service),
             service,
             epoch,
-            takeover: Takeover::for_epoch(epoch, dead_at, nodes),
+            takeover: Takeover::for_epoch(epoch, expires_at, nodes),
             slots: SlotTable::default(),
-            undecided: BTreeSet::new(),
+            unattributed: BTreeSet::new(),
             queue: Queue::new(fair),
             isolation: Isolation::default(),
             upstreams: BTreeMap::new(),
-            settled: SettledAsks::default(),
-            audience: Audience::default(),
+            answered_asks: AnsweredAsks::default(),
+            summary_receivers: SummaryReceivers::default(),
             next_grant: 1,
             mean_service_seconds: None,
             next_round_at: context.now,
             armed_at: None,
-            lowest_tier: 0,
+            least_urgent_tier: 0,
         };
-        group.ask_who_holds(context);
+        group.probe_all_holdings(context);
         group.catalogue_applied(context, shared);
-        group.wake(context, context.now);
+        group.wake_at(context, context.now);
         group
     }
 
     /// Asks each node that has not reported its grants yet to do so; after a takeover, asks all members. The message
     /// also tells the entry nodes who holds the group now.
-    pub(super) fn ask_who_holds(&self, context: &mut Context<'_>) {
+    pub(super) fn probe_all_holdings(&self, context: &mut Context<'_>) {
         let waiting: Vec<NodeId> = if self.takeover.is_done() {
             let own = context.view.node.id.clone();
             context.view.members.keys().cloned().chain([own]).collect()
@@ -122,7 +122,7 @@
     }
 
     /// Gives up the group after its lease was lost: waiting asks are refused with the name of the new holder.
-    pub fn lost(mut self, context: &mut Context<'_>) {
+    pub fn lease_lost(mut self, context: &mut Context<'_>) {
         for upstream in self.upstreams.keys() {
             context.effect(Effect::UnwatchUpstream {
                 upstream: upstream.clone(),
@@ -144,7 +144,7 @@
     }
 
     /// Handles an ask of the entry node `from`: grants, queues or refuses it. A repeated ask gets the same answer.
-    pub fn asked(
+    pub fn ask_received(
         &mut self,
         context: &mut Context<'_>,
         shared: &mut Shared,
@@ -152,8 +152,8 @@
         ask: Ask,
     ) {
         let key: AskKey = (from.clone(), ask.name.request, ask.name.asked_at);
-        self.audience.asked(from, context.now);
-        if let Some(answer) = self.settled.get(&key) {
+        self.summary_receivers.record_ask(from, context.now);
+        if let Some(answer) = self.answered_asks.get(&key) {
             context.send(from, answer.clone());
             return;
         }
@@ -161,19 +161,19 @@
             self.send_queued(context, &key);
             return;
         }
-        if self.refused_on_sight(context, shared, &key, &ask) {
+        if self.refuse_immediately(context, shared, &key, &ask) {
             return;
         }
-        let queued = self.queued_ask(context, key.clone(), ask);
+        let queued = self.new_queued_ask(context, key.clone(), ask);
         match shared.verdict(queued.ask.fingerprint, context.now) {
             Verdict::Trusted => self.queue.push(queued),
             Verdict::Suspect | Verdict::Quarantined => self.isolation.push(queued),
         }
-        self.pump(context, shared);
+        self.grant_waiting(context, shared);
         if self.is_waiting(&key) {
-            self.judge_lateness(context, &key);
+            self.update_lateness(context, &key);
             self.send_queued(context, &key);
-            self.arm(context, shared);
+            self.arm_timer(context, shared);
         }
     }
 
@@ -183,7 +183,7 @@
 
     /// Refuses an ask that waiting cannot help: a quarantined request, one that fits no upstream, or one whose deadline
     /// is unreachable. Returns whether it was refused.
-    fn refused_on_sight(
+    fn refuse_immediately(
         &mut self,
         context: &mut Context<'_>,
         shared: &Shared,
@@ -202,14 +202,14 @@
             );
             return true;
         }
-        if !self.can_ever_take(context.view, ask) {
-            let reason = self.nowhere_here(context.view, shared, ask);
+        if !self.can_fit(context.view, ask) {
+            let reason = self.refusal_without_fit(context.view, shared, ask);
             self.refuse(context, key, &ask.name, reason, None);
             return true;
         }
         let policy = &context.view.tuning.policy;
         if policy.early_refusal
-            && self.is_unreachable(context.view, ask, ask.time_left, SHORT_ANSWER)
+            && self.is_unreachable(context.view, ask, ask.time_left, MIN_ANSWER_SHARE)
         {
             let code = RefusalCode::DeadlineUnreachable;
             self.refuse(context, key, &ask.name, AskRefusal::Final { code }, None);
@@ -218,7 +218,7 @@
         false
     }
 
-    fn queued_ask(&self, context: &Context<'_>, key: AskKey, ask: Ask) -> QueuedAsk {
+    fn new_queued_ask(&self, context: &Context<'_>, key: AskKey, ask: Ask) -> QueuedAsk {
         let weight = context.view.catalogue.account(&ask.account);
         let deadline = context.now + ask.time_left;
         let service = Duration::from_secs_f64(self.best_service_seconds(context.view, &ask));
@@ -230,7 +230,7 @@
             cost_seconds: self.mean_cost_seconds(&ask),
             weight: weight.map_or(1, |account| account.weight),
             late: false,
-            news_at: context.now,
+            next_update_at: context.now,
             ask,
         }
     }
@@ -247,14 +247,14 @@
             predicted_wait,
         });
         context.send(&key.0, message);
-        let news_at = context.now + predicted_wait * 2 + NEWS_AFTER;
-        self.queue.set_news_at(key, news_at);
+        let next_update_at = context.now + predicted_wait * 2 + UPDATE_MARGIN;
+        self.queue.set_next_update_at(key, next_update_at);
     }
 
     /// Repeats the predicted wait for asks that wait longer than predicted, so that their entry nodes do not assume
     /// that the broker has failed.
-    pub(super) fn send_news(&mut self, context: &mut Context<'_>) {
-        let mut due = self.queue.news_due(context.now);
+    pub(super) fn send_wait_updates(&mut self, context: &mut Context<'_>) {
+        let mut due = self.queue.updates_due(context.now);
         due.extend(self.isolation.keys());
         for key in due {
             self.send_queued(context, &key);
@@ -262,7 +262,7 @@
     }
 
     /// Removes an ask that its entry node withdrew, and confirms the withdrawal.
-    pub fn withdrawn(
+    pub fn ask_withdrawn(
         &mut self,
         context: &mut Context<'_>,
         shared: &mut Shared,
@@ -270,16 +270,16 @@
         name: AskName,
     ) {
         let key: AskKey = (from.clone(), name.request, name.asked_at);
-        self.take_waiting(&key);
+        self.remove_waiting(&key);
         let answer = Message::Withdrawn(name);
         // The ask may arrive after its own withdrawal and must not be granted then.
-        self.settled.insert(key, answer.clone());
+        self.answered_asks.insert(key, answer.clone());
         context.send(from, answer);
-        self.pump(context, shared);
+        self.grant_waiting(context, shared);
     }
 
     /// Removes a waiting ask from the queue or from isolation.
-    pub(super) fn take_waiting(&mut self, key: &AskKey) -> Option<QueuedAsk> {
+    pub(super) fn remove_waiting(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         self.queue
             .remove(key)
             .or_else(|| self.isolation.remove(key))
@@ -293,7 +293,7 @@
         reason: AskRefusal,
         retry_after: Option<Duration>,
     ) {
-        let Some(queued) = self.take_waiting(key) else {
+        let Some(queued) = self.remove_waiting(key) else {
             return;
         };
         self.refuse(context, key, &queued.ask.name, reason, retry_after);
@@ -313,12 +313,12 @@
             reason,
             retry_after,
         });
-        self.settled.insert(key.clone(), answer.clone());
+        self.answered_asks.insert(key.clone(), answer.clone());
         context.send(&key.0, answer);
     }
 
     /// Sets the group's round timer to fire at `at`, unless it is already set for that time or earlier.
-    pub(super) fn wake(&mut self, context: &mut Context<'_>, at: Duration) {
+    pub(super) fn wake_at(&mut self, context: &mut Context<'_>, at: Duration) {
         if self.armed_at.is_some_and(|armed_at| armed_at <= at) {
             return;
         }
--- a/crates/dragonflystep_core/src/broker/isolation.rs
+++ b/crates/dragonflystep_core/src/broker/isolation.rs
@@ -45,7 +45,7 @@
     }
 
     /// Keys of the asks whose deadline is at or before `now`.
-    pub fn passed(&self, now: Duration) -> Vec<AskKey> {
+    pub fn expired(&self, now: Duration) -> Vec<AskKey> {
         self.asks
             .values()
             .filter(|queued| queued.deadline <= now)
--- a/crates/dragonflystep_core/src/broker/load.rs
+++ b/crates/dragonflystep_core/src/broker/load.rs
@@ -4,7 +4,7 @@
     super::{
         Brokers,
         group::Group,
-        overload::{YieldRound, ending, victims},
+        overload::{YieldRound, cancelled_count, select_victims},
         slots::SlotKey,
     },
     crate::{
@@ -27,7 +27,7 @@
 
     /// The group's answer to another broker's yield request for `tier`.
     fn yield_state(&self, context: &Context<'_>, tier: Tier) -> YieldState {
-        if !self.may_grant(context) || !self.nothing_hidden() {
+        if !self.may_grant(context) || !self.all_streams_known() {
             return YieldState::Busy;
         }
         let free = self.free_slots(context.view, context.now) as usize;
@@ -40,13 +40,14 @@
         YieldState::Clear
     }
 
-    /// Whether the group serves nothing less urgent than `tier`, including streams without a slot.
+    /// Whether the group certainly serves nothing less urgent than `tier`: all its streams are known and none is of
+    /// such a tier.
     fn is_clear(&self, tier: Tier) -> bool {
-        self.nothing_hidden() && !self.slots.serves_below(tier)
+        self.all_streams_known() && !self.slots.serves_below(tier)
     }
 
     /// Number of asks of a tier for which streams of less urgent tiers may be cancelled, by the overload policy.
-    fn pressing(&self, view: &View, tier: Tier) -> usize {
+    fn preemption_demand(&self, view: &View, tier: Tier) -> usize {
         let policy = view.catalogue.service(&self.service);
         let policy = policy.map(|each| each.overload_policy).unwrap_or_default();
         match policy {
@@ -55,14 +56,15 @@
         }
     }
 
-    /// Cancels streams of less urgent tiers until `wanted` asks of `tier` have room, counting those that already end.
-    fn make_room(&mut self, context: &mut Context<'_>, tier: Tier, wanted: usize) {
-        let missing = wanted.saturating_sub(ending(&self.slots, tier));
+    /// Cancels enough streams of less urgent tiers to make room for `wanted` asks of `tier`. Streams that were
+    /// cancelled earlier and still occupy a slot count towards the number.
+    fn preempt_for(&mut self, context: &mut Context<'_>, tier: Tier, wanted: usize) {
+        let missing = wanted.saturating_sub(cancelled_count(&self.slots, tier));
         if missing == 0 || !self.may_grant(context) {
             return;
         }
-        let chosen: Vec<SlotKey> = victims(&self.slots, tier, missing, |upstream| {
-            self.upstream_takes_work(context.view, upstream)
+        let chosen: Vec<SlotKey> = select_victims(&self.slots, tier, missing, |upstream| {
+            self.upstream_accepts_work(context.view, upstream)
         });
         for key in chosen {
             self.cancel(context, key, tier);
@@ -107,7 +109,7 @@
     }
 
     /// Redirects one late ask of a tier to another group that has free slots. Returns whether there was one.
-    fn move_late(&mut self, context: &mut Context<'_>, tier: Tier, group: &GroupId) -> bool {
+    fn redirect_late(&mut self, context: &mut Context<'_>, tier: Tier, group: &GroupId) -> bool {
         let late = self.queue.late(tier);
         let Some(key) = late.first() else {
             return false;
@@ -123,7 +125,7 @@
 impl Brokers {
     /// Handles the consequences of a change in a group: makes room for urgent asks, relieves late ones, and sends a
     /// summary if free slots came or went.
-    pub(super) fn settle(&mut self, context: &mut Context<'_>, id: &str) {
+    pub(super) fn group_changed(&mut self, context: &mut Context<'_>, id: &str) {
         let Some(group) = self.groups.get_mut(id) else {
             return;
         };
@@ -133,36 +135,42 @@
             let Some(group) = self.groups.get_mut(id) else {
                 return;
             };
-            let wanted = group.pressing(context.view, tier);
-            group.make_room(context, tier, wanted);
+            let wanted = group.preemption_demand(context.view, tier);
+            group.preempt_for(context, tier, wanted);
             if group.queue.late_count(tier) > 0 && group.may_grant(context) {
-                self.relieve(context, id, &service, tier);
+                self.relieve_overload(context, id, &service, tier);
             }
         }
         if let Some(group) = self.groups.get_mut(id) {
-            group.tell_turn(context);
+            group.announce_free_slots(context);
         }
     }
 
     /// Relieves the late asks of a tier: redirects one to another group of this node, asks the other brokers to yield,
     /// and refuses the rest once every broker has agreed.
-    fn relieve(&mut self, context: &mut Context<'_>, id: &str, service: &ServiceId, tier: Tier) {
-        self.move_to_own_room(context, id, service, tier);
-        if !self.all_clear(context, service, tier) {
-            self.begin_round(context, service, tier);
+    fn relieve_overload(
+        &mut self,
+        context: &mut Context<'_>,
+        id: &str,
+        service: &ServiceId,
+        tier: Tier,
+    ) {
+        self.redirect_to_own_group(context, id, service, tier);
+        if !self.all_yielded(context, service, tier) {
+            self.begin_yield_round(context, service, tier);
         }
         let refuses = context.view.tuning.policy.early_refusal;
         if refuses
-            && self.all_clear(context, service, tier)
+            && self.all_yielded(context, service, tier)
             && let Some(group) = self.groups.get_mut(id)
         {
             group.refuse_late(context, tier);
-            group.pump(context, &mut self.shared);
+            group.grant_waiting(context, &mut self.shared);
         }
     }
 
     /// Redirects a late ask to another group that this node holds and that has free slots.
-    fn move_to_own_room(
+    fn redirect_to_own_group(
         &mut self,
         context: &mut Context<'_>,
         id: &str,
@@ -178,13 +186,13 @@
         if let Some(other) = with_room
             && let Some(group) = self.groups.get_mut(id)
         {
-            group.move_late(context, tier, &other);
+            group.redirect_late(context, tier, &other);
         }
     }
 
-    /// Whether no broker of the service serves anything less urgent than `tier`, and none will start to before the
-    /// yield round expires.
-    fn all_clear(&self, context: &Context<'_>, service: &ServiceId, tier: Tier) -> bool {
+    /// Whether no broker of the service serves anything less urgent than `tier`, and none will start doing so before
+    /// the yield round expires.
+    fn all_yielded(&self, context: &Context<'_>, service: &ServiceId, tier: Tier) -> bool {
         let Some(round) = self.shared.rounds.get(service, tier) else {
             return false;
         };
@@ -205,7 +213,7 @@
     }
 
     /// Asks all other brokers of the service to yield, at most once in half a round interval.
-    fn begin_round(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    fn begin_yield_round(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         let gap = context.view.tuning.round / 2;
         let last = self.shared.rounds.get(service, tier);
         if last.is_some_and(|round| context.now < round.began_at + gap) {
@@ -231,7 +239,7 @@
             };
             context.send(&node, Message::Yield(wanted));
         }
-        self.make_room_for_others(context, service, tier);
+        self.preempt_for_others(context, service, tier);
     }
 
     fn other_brokers(&self, context: &Context<'_>, service: &ServiceId) -> BTreeSet<NodeId> {
@@ -245,17 +253,22 @@
     }
 
     /// Cancels at least one less urgent stream in each own group of the service that is busy with them.
-    fn make_room_for_others(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    fn preempt_for_others(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         for group in self.groups.values_mut() {
             if group.service == *service && group.yield_state(context, tier) == YieldState::Busy {
-                let wanted = group.pressing(context.view, tier).max(1);
-                group.make_room(context, tier, wanted);
+                let wanted = group.preemption_demand(context.view, tier).max(1);
+                group.preempt_for(context, tier, wanted);
             }
         }
     }
 
     /// Handles another broker's yield request: raises the floor, answers for each own group, and makes room.
-    pub(super) fn yield_asked(&mut self, context: &mut Context<'_>, from: &NodeId, wanted: &Yield) {
+    pub(super) fn yield_requested(
+        &mut self,
+        context: &mut Context<'_>,
+        from: &NodeId,
+        wanted: &Yield,
+    ) {
         let until = context.now + wanted.lasts.min(longest_yield(context));
         self.shared
             .floors
@@ -277,13 +290,13 @@
             groups,
         };
         context.send(from, Message::YieldAnswer(answer));
-        self.make_room_for_others(context, &wanted.service, wanted.tier);
-        self.arm_all(context);
+        self.preempt_for_others(context, &wanted.service, wanted.tier);
+        self.arm_all_timers(context);
     }
 
-    fn arm_all(&mut self, context: &mut Context<'_>) {
+    fn arm_all_timers(&mut self, context: &mut Context<'_>) {
         for group in self.groups.values_mut() {
-            group.arm(context, &self.shared);
+            group.arm_timer(context, &self.shared);
         }
     }
 
@@ -296,17 +309,22 @@
             return;
         }
         for group in &answer.groups {
-            round.answered(group);
+            round.record_answer(group);
         }
-        self.move_to_room(context, &answer.service, answer.tier);
+        self.redirect_to_free_groups(context, &answer.service, answer.tier);
         let ids: Vec<GroupId> = self.groups.keys().cloned().collect();
         for id in ids {
-            self.settle(context, &id);
+            self.group_changed(context, &id);
         }
     }
 
     /// Redirects one late ask of each own group to a group that reported free slots.
-    fn move_to_room(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    fn redirect_to_free_groups(
+        &mut self,
+        context: &mut Context<'_>,
+        service: &ServiceId,
+        tier: Tier,
+    ) {
         let own: Vec<GroupId> = self
             .groups
             .values()
@@ -317,11 +335,11 @@
             let Some(round) = self.shared.rounds.get_mut(service, tier) else {
                 return;
             };
-            let Some(room) = round.take_room() else {
+            let Some(free_group) = round.take_free_group() else {
                 return;
             };
             if let Some(group) = self.groups.get_mut(&id) {
-                group.move_late(context, tier, &room);
+                group.redirect_late(context, tier, &free_group);
             }
         }
     }
--- a/crates/dragonflystep_core/src/broker/mod.rs
+++ b/crates/dragonflystep_core/src/broker/mod.rs
@@ -74,22 +74,22 @@
 
     /// Handles a message of an entry node or of another broker.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
-        self.refresh(context);
+        self.refresh_directory(context);
         match message {
-            Message::Ask(ask) => self.asked(context, from, ask),
+            Message::Ask(ask) => self.ask_received(context, from, ask),
             Message::Withdraw(name) => {
                 let id = name.group.clone();
                 match self.groups.get_mut(&id) {
-                    Some(group) => group.withdrawn(context, &mut self.shared, from, name),
+                    Some(group) => group.ask_withdrawn(context, &mut self.shared, from, name),
                     None => context.send(from, Message::Withdrawn(name)),
                 }
-                self.settle(context, &id);
+                self.group_changed(context, &id);
             }
             Message::GrantReturned(name) => {
                 if let Some(group) = self.groups.get_mut(&name.group) {
                     group.grant_returned(context, &mut self.shared, from, &name);
                 }
-                self.settle(context, &name.group);
+                self.group_changed(context, &name.group);
             }
             Message::Started(name) => {
                 if let Some(group) = self.groups.get_mut(&name.group) {
@@ -101,22 +101,22 @@
                 if let Some(group) = self.groups.get_mut(&id) {
                     group.stream_finished(context, &mut self.shared, from, &finished);
                 }
-                self.settle(context, &id);
+                self.group_changed(context, &id);
             }
             Message::Holding(holding) => {
                 if let Some(group) = self.groups.get_mut(&holding.group) {
-                    group.holding_told(context, &mut self.shared, from, &holding);
+                    group.holding_received(context, &mut self.shared, from, &holding);
                 }
-                self.settle(context, &holding.group);
+                self.group_changed(context, &holding.group);
             }
-            Message::Yield(wanted) => self.yield_asked(context, from, &wanted),
+            Message::Yield(wanted) => self.yield_requested(context, from, &wanted),
             Message::YieldAnswer(answer) => self.yield_answered(context, &answer),
             Message::CrashObserved(crash) => self.crash_observed(context, from, &crash),
             _ => {}
         }
     }
 
-    fn asked(&mut self, context: &mut Context<'_>, from: &NodeId, ask: Ask) {
+    fn ask_received(&mut self, context: &mut Context<'_>, from: &NodeId, ask: Ask) {
         let id = ask.name.group.clone();
         let Some(group) = self.groups.get_mut(&id) else {
             let holder = context.view.holders.get(&id);
@@ -130,13 +130,13 @@
             context.send(from, Message::AskRefused(refused));
             return;
         };
-        group.asked(context, &mut self.shared, from, ask);
-        self.settle(context, &id);
+        group.ask_received(context, &mut self.shared, from, ask);
+        self.group_changed(context, &id);
     }
 
     /// Handles an upstream's load report, cache report or confirmed cancellation.
     pub fn upstream_event(&mut self, context: &mut Context<'_>, event: UpstreamEvent) {
-        self.refresh(context);
+        self.refresh_directory(context);
         let upstream = match &event {
             UpstreamEvent::CancelConfirmed { upstream, .. }
             | UpstreamEvent::LoadReported { upstream, .. }
@@ -174,7 +174,7 @@
             } => group.cache_reported(&upstream, sequence, &stored, &evicted),
             _ => {}
         }
-        self.settle(context, &id);
+        self.group_changed(context, &id);
     }
 
     fn group_of(&self, context: &Context<'_>, upstream: &str) -> Option<GroupId> {
@@ -184,37 +184,37 @@
 
     /// Handles a group's round timer: expired grants, deadlines, summaries.
     pub fn round_due(&mut self, context: &mut Context<'_>, group: &str) {
-        self.refresh(context);
+        self.refresh_directory(context);
         let Some(held) = self.groups.get_mut(group) else {
             return;
         };
         held.round_due(context, &mut self.shared);
-        self.shared.forget_old(context.now);
-        self.settle(context, group);
+        self.shared.remove_expired(context.now);
+        self.group_changed(context, group);
     }
 
     /// Handles a signal of another part of the node: leases, the catalogue, members, leaving upstreams.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
-        self.refresh(context);
+        self.refresh_directory(context);
         match signal {
-            Signal::LeaseAcquired { group, epoch } => self.acquired(context, group, *epoch),
+            Signal::LeaseAcquired { group, epoch } => self.lease_acquired(context, group, *epoch),
             Signal::LeaseLost { group } => {
                 if let Some(held) = self.groups.remove(group) {
-                    held.lost(context);
+                    held.lease_lost(context);
                 }
             }
             Signal::CatalogueApplied => {
                 for group in self.groups.values_mut() {
                     group.catalogue_applied(context, &self.shared);
                 }
-                self.pump_all(context);
+                self.grant_waiting_in_all(context);
             }
-            Signal::LeavingUpstreamsChanged => self.pump_all(context),
+            Signal::LeavingUpstreamsChanged => self.grant_waiting_in_all(context),
             Signal::MemberJoined { node } => {
                 for group in self.groups.values_mut() {
                     group.member_joined(context, node);
                 }
-                self.tell_joined(context, node);
+                self.send_quarantine_to(context, node);
             }
             Signal::MemberGone { node, incarnation } => {
                 for group in self.groups.values_mut() {
@@ -225,31 +225,31 @@
         }
     }
 
-    fn refresh(&mut self, context: &Context<'_>) {
+    fn refresh_directory(&mut self, context: &Context<'_>) {
         self.shared.directory.refresh(&context.view.catalogue);
     }
 
-    fn acquired(&mut self, context: &mut Context<'_>, id: &GroupId, epoch: Epoch) {
+    fn lease_acquired(&mut self, context: &mut Context<'_>, id: &GroupId, epoch: Epoch) {
         if self.groups.get(id).is_some_and(|held| held.epoch == epoch) {
             // Grant numbers must not restart within an epoch.
             return;
         }
         if let Some(earlier) = self.groups.remove(id) {
-            earlier.lost(context);
+            earlier.lease_lost(context);
         }
-        let group = Group::acquired(context, &self.shared, id, epoch);
+        let group = Group::lease_acquired(context, &self.shared, id, epoch);
         self.groups.insert(id.clone(), group);
         let fields = vec![("group", id.to_string()), ("epoch", epoch.to_string())];
         context.log(LogLevel::Info, "Took a group over.", fields);
     }
 
-    fn pump_all(&mut self, context: &mut Context<'_>) {
+    fn grant_waiting_in_all(&mut self, context: &mut Context<'_>) {
         let ids: Vec<GroupId> = self.groups.keys().cloned().collect();
         for id in ids {
             if let Some(group) = self.groups.get_mut(&id) {
-                group.pump(context, &mut self.shared);
+                group.grant_waiting(context, &mut self.shared);
             }
-            self.settle(context, &id);
+            self.group_changed(context, &id);
         }
     }
 
@@ -257,11 +257,11 @@
     /// service.
     fn crash_observed(&mut self, context: &mut Context<'_>, from: &NodeId, crash: &CrashObserved) {
         if crash.on_board == 0 {
-            return self.quarantine_told(context, crash);
+            return self.quarantine_received(context, crash);
         }
-        self.remind_of_quarantine(context, from, crash);
+        self.reply_with_quarantine(context, from, crash);
         let held = self.groups.get(&crash.group);
-        let mut passed_on = CrashObserved {
+        let mut forwarded = CrashObserved {
             fingerprints: Vec::new(),
             ..crash.clone()
         };
@@ -269,21 +269,21 @@
         for fingerprint in &crash.fingerprints {
             let known = match held {
                 Some(group) => {
-                    group.crash(&crash.upstream, *fingerprint, crash.on_board, context.now)
+                    group.describe_crash(&crash.upstream, *fingerprint, crash.on_board, context.now)
                 }
                 None => Crash::of_another_group(crash),
             };
             match self
                 .shared
                 .quarantine
-                .crashed(*fingerprint, &known, context.now)
+                .record_crash(*fingerprint, &known, context.now)
             {
                 Finding::Repeated => continue,
                 Finding::Counted => {}
                 Finding::Proved => proved.push(*fingerprint),
             }
-            passed_on.fingerprints.push(*fingerprint);
-            passed_on.on_board = passed_on.on_board.max(known.on_board);
+            forwarded.fingerprints.push(*fingerprint);
+            forwarded.on_board = forwarded.on_board.max(known.request_count);
         }
         let Some(group) = self.groups.get_mut(&crash.group) else {
             return;
@@ -291,17 +291,17 @@
         group.upstream_crashed(&crash.upstream);
         // Only the broker of the group forwards a crash, and it has already forwarded those that it counted before.
         let service = group.service().clone();
-        if !passed_on.fingerprints.is_empty() {
-            self.pass_on(context, &service, &passed_on);
+        if !forwarded.fingerprints.is_empty() {
+            self.forward_crash(context, &service, &forwarded);
         }
         if !proved.is_empty() {
-            tell_quarantine(context, crash, proved);
+            broadcast_quarantine(context, crash, proved);
         }
-        self.pump_all(context);
+        self.grant_waiting_in_all(context);
     }
 
     /// Forwards a crash to the other brokers of a service, even if one of them reported it as an entry node.
-    fn pass_on(&self, context: &mut Context<'_>, service: &str, crash: &CrashObserved) {
+    fn forward_crash(&self, context: &mut Context<'_>, service: &str, crash: &CrashObserved) {
         let others: BTreeSet<NodeId> = self
             .shared
             .directory
@@ -316,16 +316,16 @@
         }
     }
 
-    fn quarantine_told(&mut self, context: &mut Context<'_>, crash: &CrashObserved) {
+    fn quarantine_received(&mut self, context: &mut Context<'_>, crash: &CrashObserved) {
         for fingerprint in &crash.fingerprints {
             let quarantine = &mut self.shared.quarantine;
-            quarantine.told(*fingerprint, &crash.upstream, context.now);
+            quarantine.adopt(*fingerprint, &crash.upstream, context.now);
         }
-        self.pump_all(context);
+        self.grant_waiting_in_all(context);
     }
 
     /// Tells the broker that forwarded a crash which of the requests are quarantined here, so that it learns of them.
-    fn remind_of_quarantine(
+    fn reply_with_quarantine(
         &self,
         context: &mut Context<'_>,
         from: &NodeId,
@@ -344,8 +344,8 @@
     }
 
     /// Sends the quarantines that this node proved to a node that joined, since it may take over any group.
-    fn tell_joined(&self, context: &mut Context<'_>, node: &NodeId) {
-        for (upstream, fingerprints) in self.shared.quarantine.own_proofs(context.now) {
+    fn send_quarantine_to(&self, context: &mut Context<'_>, node: &NodeId) {
+        for (upstream, fingerprints) in self.shared.quarantine.own_findings(context.now) {
             let group = self.group_of(context, &upstream);
             let crash = CrashObserved {
                 upstream,
@@ -359,7 +359,11 @@
 }
 
 /// Tells all nodes that requests are quarantined, since any node may take over a group.
-fn tell_quarantine(context: &mut Context<'_>, crash: &CrashObserved, proved: Vec<Fingerprint>) {
+fn broadcast_quarantine(
+    context: &mut Context<'_>,
+    crash: &CrashObserved,
+    proved: Vec<Fingerprint>,
+) {
     for fingerprint in &proved {
         let reason = "It crashed an upstream on which it ran alone.";
         let fields = vec![
--- a/crates/dragonflystep_core/src/broker/overload.rs
+++ b/crates/dragonflystep_core/src/broker/overload.rs
@@ -13,15 +13,15 @@
 };
 
 /// Assumed computed share of the prompt of a stream that has no token yet.
-const PREFILL_UNDER_WAY: f64 = 0.5;
+const PARTIAL_PREFILL_SHARE: f64 = 0.5;
 
 /// Tier floors of each service: while a floor holds, no less urgent tier is granted.
 #[derive(Debug, Default)]
-pub struct Floors {
+pub struct TierFloors {
     until: BTreeMap<ServiceId, BTreeMap<Tier, Duration>>,
 }
 
-impl Floors {
+impl TierFloors {
     /// Forbids grants of tiers less urgent than `tier` until `until`.
     pub fn raise(&mut self, service: &ServiceId, tier: Tier, until: Duration) {
         let known = self
@@ -37,9 +37,9 @@
     ///
     /// # Examples
     /// ```
-    /// use dragonflystep_core::broker::overload::Floors;
+    /// use dragonflystep_core::broker::overload::TierFloors;
     /// use std::time::Duration;
-    /// let mut floors = Floors::default();
+    /// let mut floors = TierFloors::default();
     /// floors.raise(&"assistant".into(), 1, Duration::from_secs(2));
     /// assert_eq!(floors.floor("assistant", Duration::from_secs(1)), 1);
     /// assert_eq!(floors.floor("assistant", Duration::from_secs(2)), u8::MAX);
@@ -67,7 +67,7 @@
     }
 
     /// Removes floors that have ended.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         for tiers in self.until.values_mut() {
             tiers.retain(|_, until| now < *until);
         }
@@ -100,7 +100,7 @@
     }
 
     /// Records the answer for a group.
-    pub fn answered(&mut self, answer: &GroupYield) {
+    pub fn record_answer(&mut self, answer: &GroupYield) {
         let state = (answer.epoch, answer.answer);
         self.answers.insert(answer.group.clone(), state);
     }
@@ -115,7 +115,7 @@
     }
 
     /// Removes and returns a group that reported free slots, so that one ask is redirected to it.
-    pub fn take_room(&mut self) -> Option<GroupId> {
+    pub fn take_free_group(&mut self) -> Option<GroupId> {
         let group = self
             .answers
             .iter()
@@ -149,40 +149,44 @@
     }
 
     /// Removes rounds whose answers are no longer binding.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.rounds.retain(|_, round| now < round.binds_until);
     }
 }
 
 /// Prompt tokens whose computation is wasted if the stream is cancelled.
-fn lost_prefill(slot: &Slot) -> u64 {
+fn wasted_prefill(slot: &Slot) -> u64 {
     let computed = u64::from(slot.prompt_tokens.saturating_sub(slot.cached_tokens));
     if slot.tokens > 0 {
         return computed;
     }
-    (computed as f64 * PREFILL_UNDER_WAY) as u64
+    (computed as f64 * PARTIAL_PREFILL_SHARE) as u64
 }
 
 /// Selects up to `count` streams less urgent than `tier` to cancel: the least urgent tiers first, and within a tier
 /// those that waste the least prefill.
-pub fn victims(
+pub fn select_victims(
     slots: &SlotTable,
     tier: Tier,
     count: usize,
-    takes_work: impl Fn(&UpstreamId) -> bool,
+    accepts_work: impl Fn(&UpstreamId) -> bool,
 ) -> Vec<SlotKey> {
-    let mut able: Vec<(Reverse<Tier>, u64, u32, SlotKey)> = slots
+    let mut eligible: Vec<(Reverse<Tier>, u64, u32, SlotKey)> = slots
         .iter()
         .filter(|(_, slot)| slot.tier > tier && slot.cancellable && !slot.cancelled)
-        .filter(|(_, slot)| slot.unattended_since().is_none() && takes_work(&slot.upstream))
-        .map(|(key, slot)| (Reverse(slot.tier), lost_prefill(slot), slot.tokens, key))
+        .filter(|(_, slot)| slot.unattended_since().is_none() && accepts_work(&slot.upstream))
+        .map(|(key, slot)| (Reverse(slot.tier), wasted_prefill(slot), slot.tokens, key))
         .collect();
-    able.sort_unstable();
-    able.into_iter().take(count).map(|each| each.3).collect()
+    eligible.sort_unstable();
+    eligible
+        .into_iter()
+        .take(count)
+        .map(|each| each.3)
+        .collect()
 }
 
 /// Number of streams less urgent than `tier` that were cancelled and still occupy a slot.
-pub fn ending(slots: &SlotTable, tier: Tier) -> usize {
+pub fn cancelled_count(slots: &SlotTable, tier: Tier) -> usize {
     slots
         .iter()
         .filter(|(_, slot)| slot.tier > tier && slot.cancelled)
--- a/crates/dragonflystep_core/src/broker/patience.rs
+++ b/crates/dragonflystep_core/src/broker/patience.rs
@@ -16,25 +16,25 @@
 };
 
 /// Maximum number of asks that one pass over the queue defers; bounds the cost of a decision.
-pub(super) const MOST_PASSED_OVER: usize = 16;
-/// Factor by which the score on the upstream with capacity must exceed the best score before an ask waits.
-const WORTH_WAITING: f64 = 1.2;
+pub(super) const MAX_DEFERRED_ASKS: usize = 16;
+/// Minimum ratio of the score on the upstream with capacity to the best score that makes an ask wait.
+const MIN_SCORE_RATIO: f64 = 1.2;
 /// Minimum difference in score, in seconds, that makes waiting worthwhile.
-const LEAST_GAIN_SECONDS: f64 = 0.05;
+const MIN_GAIN_SECONDS: f64 = 0.05;
 /// Minimum saved prefill, in seconds, that makes waiting worthwhile; below it, using an idle upstream gains more.
-const LEAST_PREFILL_SAVED: f64 = 0.1;
+const MIN_PREFILL_SAVED_SECONDS: f64 = 0.1;
 /// The most urgent tier, whose deadlines leave little time to wait for an engine that has the prefix cached.
-const MOST_URGENT: Tier = 0;
+const MOST_URGENT_TIER: Tier = 0;
 /// Share of the time to its deadline that an ask of the most urgent tier may wait for an engine with its prefix.
-const URGENT_PATIENCE: f64 = 0.2;
+const URGENT_WAIT_SHARE: f64 = 0.2;
 
 /// Latest time until which an ask waits for an upstream that is better than the one with capacity.
-fn waits_until(queued: &QueuedAsk) -> Duration {
-    if queued.ask.tier > MOST_URGENT {
+fn wait_limit(queued: &QueuedAsk) -> Duration {
+    if queued.ask.tier > MOST_URGENT_TIER {
         return queued.latest_start;
     }
-    let whole = queued.deadline.saturating_sub(queued.received_at);
-    let until = queued.received_at + whole.mul_f64(URGENT_PATIENCE);
+    let total_time = queued.deadline.saturating_sub(queued.received_at);
+    let until = queued.received_at + total_time.mul_f64(URGENT_WAIT_SHARE);
     until.min(queued.latest_start)
 }
 
@@ -50,7 +50,7 @@
             return false;
         }
         self.would_be_late(context, queued, chosen)
-            || self.holder_is_worth_waiting(context.view, context.now, queued, chosen)
+            || self.should_wait_for_better(context.view, context.now, queued, chosen)
     }
 
     /// Whether the answer is predicted to miss the deadline under the current load, so that its prefill is wasted.
@@ -66,7 +66,7 @@
 
     /// Whether another upstream, which may have no capacity now, needs so much less prefill for the prompt that the ask
     /// should wait for it. Usually it has the prompt's prefix cached.
-    fn holder_is_worth_waiting(
+    fn should_wait_for_better(
         &self,
         view: &View,
         now: Duration,
@@ -74,20 +74,20 @@
         chosen: &Candidate,
     ) -> bool {
         let policy = &view.tuning.policy;
-        let has_time = now < waits_until(queued);
+        let has_time = now < wait_limit(queued);
         if !policy.prefix_model || !has_time {
             return false;
         }
-        let chooser = self.chooser(policy, now);
+        let selector = self.selector(policy, now);
         let best = self
-            .working(view)
-            .map(|model| chooser.candidate(model, &queued.ask))
+            .accepting_upstreams(view)
+            .map(|model| selector.candidate(model, &queued.ask))
             .filter(|candidate| !candidate.straggler)
             .filter(|candidate| {
-                candidate.prefill_seconds + LEAST_PREFILL_SAVED < chosen.prefill_seconds
+                candidate.prefill_seconds + MIN_PREFILL_SAVED_SECONDS < chosen.prefill_seconds
             })
             .map(|candidate| candidate.score_seconds)
             .fold(f64::INFINITY, f64::min);
-        chosen.score_seconds > best * WORTH_WAITING + LEAST_GAIN_SECONDS
+        chosen.score_seconds > best * MIN_SCORE_RATIO + MIN_GAIN_SECONDS
     }
 }
--- a/crates/dragonflystep_core/src/broker/prefix_cache.rs
+++ b/crates/dragonflystep_core/src/broker/prefix_cache.rs
@@ -11,9 +11,9 @@
 /// Maximum number of blocks that are remembered per upstream.
 const CAPACITY_BLOCKS: usize = 4096;
 /// Factor applied to the trust after a gap in the reports. It is near 1, since the grants are known without reports.
-const TRUST_AFTER_GAP: f64 = 0.98;
+const GAP_TRUST_FACTOR: f64 = 0.98;
 /// Minimum trust. It stays above zero, since a wrong prediction is noticed and corrected.
-const LEAST_TRUST: f64 = 0.1;
+const MIN_TRUST: f64 = 0.1;
 
 /// Predicted cache content of one upstream.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 
 impl PrefixCache {
     /// Records that the upstream computes these blocks now. The last blocks of a prefix become the first to be evicted.
-    pub fn used(&mut self, blocks: &[BlockHash]) {
+    pub fn record_used(&mut self, blocks: &[BlockHash]) {
         for block in blocks.iter().rev() {
             self.touch(*block);
         }
@@ -52,28 +52,28 @@
     }
 
     /// Corrects the model by a cache report of the engine; reports that are not newer than the last one are ignored.
-    pub fn reported(&mut self, sequence: u64, stored: &[BlockHash], evicted: &[BlockHash]) {
+    pub fn apply_report(&mut self, sequence: u64, stored: &[BlockHash], evicted: &[BlockHash]) {
         match self.last_sequence {
             Some(last) if sequence <= last => return,
-            Some(last) if sequence > last + 1 => self.trust *= TRUST_AFTER_GAP,
+            Some(last) if sequence > last + 1 => self.trust *= GAP_TRUST_FACTOR,
             _ => {}
         }
-        self.trust = self.trust.max(LEAST_TRUST);
+        self.trust = self.trust.max(MIN_TRUST);
         self.last_sequence = Some(sequence);
         for block in evicted {
             self.drop_block(*block);
         }
-        self.used(stored);
+        self.record_used(stored);
     }
 
     /// Adjusts the trust by comparing the predicted cached tokens with those that the engine found.
-    pub fn guess_checked(&mut self, guessed_tokens: u32, found_tokens: u32) {
-        if guessed_tokens == 0 {
+    pub fn check_prediction(&mut self, predicted_tokens: u32, found_tokens: u32) {
+        if predicted_tokens == 0 {
             return;
         }
-        let right = f64::from(found_tokens.min(guessed_tokens)) / f64::from(guessed_tokens);
+        let right = f64::from(found_tokens.min(predicted_tokens)) / f64::from(predicted_tokens);
         self.trust += 0.2 * (right - self.trust);
-        self.trust = self.trust.max(LEAST_TRUST);
+        self.trust = self.trust.max(MIN_TRUST);
     }
 
     /// Number of the prompt's leading blocks that are predicted to be cached.
@@ -88,7 +88,7 @@
     /// ```
     /// use dragonflystep_core::broker::prefix_cache::PrefixCache;
     /// let mut cache = PrefixCache::default();
-    /// cache.used(&[1, 2, 3]);
+    /// cache.record_used(&[1, 2, 3]);
     /// assert_eq!(cache.cached_tokens(&[1, 2, 9, 10], 400), 200);
     /// ```
     pub fn cached_tokens(&self, blocks: &[BlockHash], prompt_tokens: u32) -> u32 {
--- a/crates/dragonflystep_core/src/broker/prompt_ends.rs
+++ b/crates/dragonflystep_core/src/broker/prompt_ends.rs
@@ -9,7 +9,7 @@
 };
 
 /// Maximum number of prompt ends that are remembered per upstream.
-const REMEMBERED: usize = 64;
+const CAPACITY: usize = 64;
 
 /// End times of the prompts of one upstream's latest grants.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
     /// replaces the earlier time.
     pub fn ended(&mut self, key: SlotKey, at: Duration) {
         self.ends.insert(key, at);
-        if self.ends.len() > REMEMBERED {
+        if self.ends.len() > CAPACITY {
             self.ends.pop_first();
         }
     }
--- a/crates/dragonflystep_core/src/broker/quarantine.rs
+++ b/crates/dragonflystep_core/src/broker/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that crash upstreams.
 //!
-//! A request is suspected after crashes of upstreams on which it ran, then runs alone on an upstream. If that one
-//! crashes as well, the request is proved to cause crashes and is refused.
+//! A request that ran on upstreams when they crashed becomes suspect, and then runs alone on an upstream. If that
+//! upstream crashes as well, the request is proved to cause crashes and is refused.
 
 use {
     crate::{
@@ -12,11 +12,11 @@
 };
 
 /// How long a suspicion or a quarantine lasts without a new crash.
-const MEMORY: Duration = Duration::from_secs(600);
+const SUSPICION_LIFETIME: Duration = Duration::from_secs(600);
 /// Maximum number of fingerprints that are remembered.
 const CAPACITY: usize = 4096;
 /// Reports about the same upstream within this time are attributed to one crash.
-const ONE_CRASH: Duration = Duration::from_secs(3);
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(3);
 /// Accumulated share of crashes from which a request is suspected. A crash with n requests on the upstream adds 1/n,
 /// so the first crash suffices with up to four requests.
 const SUSPECT_SHARE: f64 = 0.25;
@@ -40,11 +40,11 @@
     /// Id of the upstream that crashed.
     pub upstream: UpstreamId,
     /// Number of requests that ran on the upstream, as far as is known.
-    pub on_board: u32,
+    pub request_count: u32,
     /// When the request was granted the upstream; `None` when another broker granted it.
     pub granted_at: Option<Duration>,
     /// Whether the request was granted the upstream exclusively.
-    pub alone: bool,
+    pub exclusive: bool,
 }
 
 impl Crash {
@@ -52,9 +52,9 @@
     pub fn of_another_group(observed: &CrashObserved) -> Self {
         Self {
             upstream: observed.upstream.clone(),
-            on_board: observed.on_board,
+            request_count: observed.on_board,
             granted_at: None,
-            alone: false,
+            exclusive: false,
         }
     }
 }
@@ -76,7 +76,7 @@
     crashes: u32,
     proved: bool,
     /// Whether this node proved it, instead of hearing of it from another broker.
-    own_proof: bool,
+    is_own_finding: bool,
     last_upstream: UpstreamId,
     last_at: Duration,
 }
@@ -87,7 +87,7 @@
             share: 0.0,
             crashes: 0,
             proved: false,
-            own_proof: false,
+            is_own_finding: false,
             last_upstream: upstream.clone(),
             last_at: now,
         }
@@ -97,7 +97,7 @@
         // A request that was granted after the last crash did not run on the upstream when it crashed.
         self.crashes > 0
             && self.last_upstream == crash.upstream
-            && now < self.last_at.saturating_add(ONE_CRASH)
+            && now < self.last_at.saturating_add(SAME_CRASH_WINDOW)
             && crash.granted_at.is_none_or(|at| at <= self.last_at)
     }
 }
@@ -121,26 +121,31 @@
     /// let mut quarantine = Quarantine::default();
     /// let mut crash = Crash {
     ///     upstream: "u1".into(),
-    ///     on_board: 1,
+    ///     request_count: 1,
     ///     granted_at: Some(Duration::ZERO),
-    ///     alone: false,
+    ///     exclusive: false,
     /// };
-    /// let first = quarantine.crashed(7, &crash, Duration::from_secs(1));
+    /// let first = quarantine.record_crash(7, &crash, Duration::from_secs(1));
     /// assert_eq!(first, Finding::Counted);
     /// assert_eq!(quarantine.verdict(7, Duration::from_secs(2)), Verdict::Suspect);
     /// crash.granted_at = Some(Duration::from_secs(2));
-    /// crash.alone = true;
-    /// let second = quarantine.crashed(7, &crash, Duration::from_secs(3));
+    /// crash.exclusive = true;
+    /// let second = quarantine.record_crash(7, &crash, Duration::from_secs(3));
     /// assert_eq!(second, Finding::Proved);
     /// assert_eq!(quarantine.verdict(7, Duration::from_secs(4)), Verdict::Quarantined);
     /// ```
-    pub fn crashed(&mut self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Finding {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Duration,
+    ) -> Finding {
         let suspicion = self.suspicion(fingerprint, &crash.upstream, now);
         if suspicion.has_counted(crash, now) {
             return Finding::Repeated;
         }
-        let proves = crash.alone && suspicion.crashes > 0 && !suspicion.proved;
-        suspicion.share += 1.0 / f64::from(crash.on_board.max(1));
+        let proves = crash.exclusive && suspicion.crashes > 0 && !suspicion.proved;
+        suspicion.share += 1.0 / f64::from(crash.request_count.max(1));
         suspicion.crashes += 1;
         suspicion.last_upstream = crash.upstream.clone();
         suspicion.last_at = now;
@@ -148,12 +153,12 @@
             return Finding::Counted;
         }
         suspicion.proved = true;
-        suspicion.own_proof = true;
+        suspicion.is_own_finding = true;
         Finding::Proved
     }
 
     /// Adopts another broker's finding that a request crashes upstreams.
-    pub fn told(&mut self, fingerprint: Fingerprint, upstream: &UpstreamId, now: Duration) {
+    pub fn adopt(&mut self, fingerprint: Fingerprint, upstream: &UpstreamId, now: Duration) {
         let suspicion = self.suspicion(fingerprint, upstream, now);
         if !suspicion.proved {
             suspicion.proved = true;
@@ -165,10 +170,10 @@
     ///
     /// Only these are sent to nodes that join. The message carries no age, so repeating findings of other nodes
     /// would extend a quarantine forever.
-    pub fn own_proofs(&self, now: Duration) -> BTreeMap<UpstreamId, Vec<Fingerprint>> {
+    pub fn own_findings(&self, now: Duration) -> BTreeMap<UpstreamId, Vec<Fingerprint>> {
         let mut proofs: BTreeMap<UpstreamId, Vec<Fingerprint>> = BTreeMap::new();
         for (fingerprint, suspicion) in &self.suspicions {
-            if suspicion.own_proof && now < suspicion.last_at + MEMORY {
+            if suspicion.is_own_finding && now < suspicion.last_at + SUSPICION_LIFETIME {
                 let upstream = suspicion.last_upstream.clone();
                 proofs.entry(upstream).or_default().push(*fingerprint);
             }
@@ -177,7 +182,7 @@
     }
 
     /// Clears a request that completed, since it did not cause the crashes that it was involved in.
-    pub fn finished(&mut self, fingerprint: Fingerprint) {
+    pub fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspicions.remove(&fingerprint);
     }
 
@@ -186,7 +191,7 @@
         let Some(suspicion) = self.suspicions.get(&fingerprint) else {
             return Verdict::Trusted;
         };
-        if now >= suspicion.last_at + MEMORY {
+        if now >= suspicion.last_at + SUSPICION_LIFETIME {
             return Verdict::Trusted;
         }
         if suspicion.proved {
@@ -201,13 +206,13 @@
     /// Time until a quarantined request is accepted again; `None` if nothing is known of it.
     pub fn retry_after(&self, fingerprint: Fingerprint, now: Duration) -> Option<Duration> {
         let suspicion = self.suspicions.get(&fingerprint)?;
-        Some((suspicion.last_at + MEMORY).saturating_sub(now))
+        Some((suspicion.last_at + SUSPICION_LIFETIME).saturating_sub(now))
     }
 
     /// Removes suspicions that have expired.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.suspicions
-            .retain(|_, suspicion| now < suspicion.last_at + MEMORY);
+            .retain(|_, suspicion| now < suspicion.last_at + SUSPICION_LIFETIME);
     }
 
     fn suspicion(
--- a/crates/dragonflystep_core/src/broker/queue.rs
+++ b/crates/dragonflystep_core/src/broker/queue.rs
@@ -33,7 +33,7 @@
     /// Whether its predicted start is too late for the deadline, or the queue is too long.
     pub late: bool,
     /// When its entry node is next told how long it will wait.
-    pub news_at: Duration,
+    pub next_update_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -57,16 +57,15 @@
 impl TierQueue {
     /// The next ask: the one with the earliest deadline of the account that is next, skipping those passed over.
     fn next(&self, passed_over: &BTreeSet<AskKey>) -> Option<&AskKey> {
-        let lines = self.order.iter().filter_map(|id| self.accounts.get(id));
-        lines
-            .flat_map(|line| &line.by_deadline)
+        let account_queues = self.order.iter().filter_map(|id| self.accounts.get(id));
+        account_queues
+            .flat_map(|account_queue| &account_queue.by_deadline)
             .map(|(_, key)| key)
             .find(|key| !passed_over.contains(*key))
     }
 
-    /// Slot time that the other accounts, and the account itself, receive before the account's next ask starts, if the
-    /// account has `own_before` of slot time to be served first.
-    fn turns(&self, own_before: f64, weights: u64, weight: u64) -> f64 {
+    /// Slot time that the tier serves before an ask starts, if `own_before` of its own account's slot time comes first.
+    fn cost_before_turn(&self, own_before: f64, weights: u64, weight: u64) -> f64 {
         let mean = self.cost_seconds / self.asks.max(1) as f64;
         let share = weights as f64 / weight.max(1) as f64;
         ((own_before + mean) * share - mean).max(0.0)
@@ -79,7 +78,7 @@
     asks: BTreeMap<AskKey, QueuedAsk>,
     tiers: BTreeMap<Tier, TierQueue>,
     by_deadline: BTreeSet<(Duration, AskKey)>,
-    by_news: BTreeSet<(Duration, AskKey)>,
+    by_next_update: BTreeSet<(Duration, AskKey)>,
     fair: bool,
 }
 
@@ -105,13 +104,14 @@
             tier.order.join(&account);
             tier.weights += u64::from(queued.weight.max(1));
         }
-        let line = tier.accounts.entry(account).or_insert(AccountQueue {
+        let account_queue = tier.accounts.entry(account).or_insert(AccountQueue {
             weight: queued.weight.max(1),
             ..AccountQueue::default()
         });
-        line.by_deadline
+        account_queue
+            .by_deadline
             .insert((queued.deadline, queued.key.clone()));
-        line.cost_seconds += queued.cost_seconds;
+        account_queue.cost_seconds += queued.cost_seconds;
         tier.cost_seconds += queued.cost_seconds;
         tier.asks += 1;
         tier.by_latest_start
@@ -121,7 +121,8 @@
         }
         self.by_deadline
             .insert((queued.deadline, queued.key.clone()));
-        self.by_news.insert((queued.news_at, queued.key.clone()));
+        self.by_next_update
+            .insert((queued.next_update_at, queued.key.clone()));
         self.asks.insert(queued.key.clone(), queued);
     }
 
@@ -129,7 +130,8 @@
     pub fn remove(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.asks.remove(key)?;
         self.by_deadline.remove(&(queued.deadline, key.clone()));
-        self.by_news.remove(&(queued.news_at, key.clone()));
+        self.by_next_update
+            .remove(&(queued.next_update_at, key.clone()));
         let account = account_of(&queued.ask, self.fair);
         let tier = self.tiers.get_mut(&queued.ask.tier)?;
         tier.by_latest_start
@@ -137,15 +139,17 @@
         tier.late.remove(key);
         tier.asks -= 1;
         tier.cost_seconds -= queued.cost_seconds;
-        let line = tier.accounts.get_mut(&account)?;
-        line.by_deadline.remove(&(queued.deadline, key.clone()));
-        line.cost_seconds -= queued.cost_seconds;
+        let account_queue = tier.accounts.get_mut(&account)?;
+        account_queue
+            .by_deadline
+            .remove(&(queued.deadline, key.clone()));
+        account_queue.cost_seconds -= queued.cost_seconds;
         if tier.asks == 0 {
             // Drops the rounding error that many additions and subtractions leave behind.
             tier.cost_seconds = 0.0;
         }
-        if line.by_deadline.is_empty() {
-            tier.weights -= u64::from(line.weight);
+        if account_queue.by_deadline.is_empty() {
+            tier.weights -= u64::from(account_queue.weight);
             tier.accounts.remove(&account);
             tier.order.leave(&account);
         }
@@ -250,12 +254,15 @@
         };
         let others = (own.cost_seconds - queued.cost_seconds).max(0.0);
         let account = account_of(&queued.ask, self.fair);
-        let Some(line) = own.accounts.get(&account) else {
+        let Some(account_queue) = own.accounts.get(&account) else {
             return above + others;
         };
-        let weight = u64::from(line.weight);
-        let own_before = line.cost_seconds - queued.cost_seconds;
-        above + own.turns(own_before, own.weights, weight).min(others)
+        let weight = u64::from(account_queue.weight);
+        let own_before = account_queue.cost_seconds - queued.cost_seconds;
+        above
+            + own
+                .cost_before_turn(own_before, own.weights, weight)
+                .min(others)
     }
 
     /// Predicted slot time that is served before an ask whose account has no other asks waiting.
@@ -264,8 +271,8 @@
         let Some(own) = self.tiers.get(&tier) else {
             return above;
         };
-        let turns = own.turns(0.0, own.weights + 1, 1);
-        above + turns.min(own.cost_seconds.max(0.0))
+        let cost_before_turn = own.cost_before_turn(0.0, own.weights + 1, 1);
+        above + cost_before_turn.min(own.cost_seconds.max(0.0))
     }
 
     fn cost_above(&self, tier: Tier) -> f64 {
@@ -274,7 +281,7 @@
     }
 
     /// Keys of the asks whose deadline is at or before `now`.
-    pub fn passed(&self, now: Duration) -> Vec<AskKey> {
+    pub fn expired(&self, now: Duration) -> Vec<AskKey> {
         self.by_deadline
             .iter()
             .take_while(|(deadline, _)| *deadline <= now)
@@ -283,17 +290,18 @@
     }
 
     /// Sets when the entry node of an ask is next told how long it will wait.
-    pub fn set_news_at(&mut self, key: &AskKey, news_at: Duration) {
+    pub fn set_next_update_at(&mut self, key: &AskKey, next_update_at: Duration) {
         if let Some(queued) = self.asks.get_mut(key) {
-            self.by_news.remove(&(queued.news_at, key.clone()));
-            queued.news_at = news_at;
-            self.by_news.insert((news_at, key.clone()));
+            self.by_next_update
+                .remove(&(queued.next_update_at, key.clone()));
+            queued.next_update_at = next_update_at;
+            self.by_next_update.insert((next_update_at, key.clone()));
         }
     }
 
     /// Keys of the asks whose entry nodes are due to be told how long they will wait.
-    pub fn news_due(&self, now: Duration) -> Vec<AskKey> {
-        let due = self.by_news.iter().take_while(|(at, _)| *at <= now);
+    pub fn updates_due(&self, now: Duration) -> Vec<AskKey> {
+        let due = self.by_next_update.iter().take_while(|(at, _)| *at <= now);
         due.map(|(_, key)| key.clone()).collect()
     }
 
--- a/crates/dragonflystep_core/src/broker/rates.rs
+++ b/crates/dragonflystep_core/src/broker/rates.rs
@@ -10,15 +10,15 @@
 /// Weight of the class rates on a new upstream, in samples.
 const PRIOR_WEIGHT: f64 = 3.0;
 /// Number of samples after which an estimate may be the reason to refuse a request.
-const TRUSTED_SAMPLES: u32 = 5;
+const MIN_TRUSTED_SAMPLES: u32 = 5;
 /// Initial estimate of the time to the first token of an empty prompt.
-const FIRST_BASE_SECONDS: f64 = 0.02;
+const INITIAL_BASE_SECONDS: f64 = 0.02;
 /// Initial estimate of the prefill time per prompt token.
-const FIRST_PER_TOKEN_SECONDS: f64 = 0.000_2;
+const INITIAL_PER_TOKEN_SECONDS: f64 = 0.000_2;
 /// Initial estimate of the time between tokens.
-const FIRST_GAP_SECONDS: f64 = 0.03;
+const INITIAL_GAP_SECONDS: f64 = 0.03;
 /// Initial estimate of the mean answer length, as a share of the longest answer.
-const FIRST_OUTPUT_SHARE: f64 = 0.5;
+const INITIAL_OUTPUT_SHARE: f64 = 0.5;
 
 /// Weighted linear regression over exponentially decayed samples.
 #[derive(Clone, Copy, Debug, Default)]
@@ -47,7 +47,7 @@
         ((self.weight * self.xy - self.x * self.y) / spread).max(0.0)
     }
 
-    fn at(&self, x: f64) -> f64 {
+    fn predict(&self, x: f64) -> f64 {
         if self.weight <= 0.0 {
             return 0.0;
         }
@@ -56,7 +56,7 @@
         base + slope * x
     }
 
-    fn mix(&mut self, other: &Self, part: f64) {
+    fn blend(&mut self, other: &Self, part: f64) {
         self.x += part * (other.x - self.x);
         self.y += part * (other.y - self.y);
         self.xx += part * (other.xx - self.xx);
@@ -105,13 +105,13 @@
 impl Default for Rates {
     fn default() -> Self {
         let mut first_token = LinearFit::default();
-        first_token.add(0.0, FIRST_BASE_SECONDS, 0.5);
-        let thousand = FIRST_BASE_SECONDS + 1000.0 * FIRST_PER_TOKEN_SECONDS;
+        first_token.add(0.0, INITIAL_BASE_SECONDS, 0.5);
+        let thousand = INITIAL_BASE_SECONDS + 1000.0 * INITIAL_PER_TOKEN_SECONDS;
         first_token.add(1000.0, thousand, 0.5);
         Self {
             first_token,
-            gap_seconds: FIRST_GAP_SECONDS,
-            output_share: FIRST_OUTPUT_SHARE,
+            gap_seconds: INITIAL_GAP_SECONDS,
+            output_share: INITIAL_OUTPUT_SHARE,
             samples: 0,
             own_samples: 0,
         }
@@ -129,12 +129,12 @@
     }
 
     /// Whether enough samples of this upstream itself exist, so that it no longer follows its class.
-    pub fn is_own(&self) -> bool {
-        self.own_samples >= TRUSTED_SAMPLES
+    pub fn has_own_samples(&self) -> bool {
+        self.own_samples >= MIN_TRUSTED_SAMPLES
     }
 
     /// Rates of the class, for an upstream with too few samples of its own; keeps the count of its own samples.
-    pub fn unproved_like(&self, class: &Self) -> Self {
+    pub fn following_class(&self, class: &Self) -> Self {
         Self {
             own_samples: self.own_samples,
             ..Self::from_class(class)
@@ -146,18 +146,18 @@
     pub fn drift_towards(&mut self, class: &Self, part: f64) {
         self.gap_seconds += part * (class.gap_seconds - self.gap_seconds);
         let class_fit = class.first_token.scaled_to(self.first_token.weight);
-        self.first_token.mix(&class_fit, part);
+        self.first_token.blend(&class_fit, part);
     }
 
     /// Learns from an ended stream. `computed_tokens` of its prompt were not cached, `output_tokens` is the longest
-    /// answer it could have, and `whole` is false if it did not complete.
+    /// answer it could have, and `is_completed` is false if it did not complete.
     pub fn learn(
         &mut self,
         kind: ServiceKind,
         finished: &Finished,
         computed_tokens: u32,
         output_tokens: u32,
-        whole: bool,
+        is_completed: bool,
     ) {
         let Some(first_token_after) = finished.first_token_after else {
             return;
@@ -179,7 +179,7 @@
             let weight = 0.3 * f64::from(finished.tokens.min(20)) / 20.0;
             self.gap_seconds += weight * (gap - self.gap_seconds);
         }
-        if whole && output_tokens > 0 {
+        if is_completed && output_tokens > 0 {
             let share = f64::from(finished.tokens) / f64::from(output_tokens);
             self.output_share += 0.1 * (share.min(1.0) - self.output_share);
         }
@@ -187,7 +187,7 @@
 
     /// Predicts the time of a request, `computed` of whose prompt tokens are not cached.
     pub fn estimate(&self, kind: ServiceKind, computed: f64, output_tokens: u32) -> Estimate {
-        let prefill_seconds = self.first_token.at(computed);
+        let prefill_seconds = self.first_token.predict(computed);
         let decode_seconds = match kind {
             ServiceKind::Plain => 0.0,
             ServiceKind::Engine => f64::from(output_tokens) * self.output_share * self.gap_seconds,
@@ -210,6 +210,6 @@
 
     /// Whether there are enough samples, of the upstream or its class, to refuse a request because of an estimate.
     pub fn is_trusted(&self) -> bool {
-        self.samples >= TRUSTED_SAMPLES
+        self.samples >= MIN_TRUSTED_SAMPLES
     }
 }
--- a/crates/dragonflystep_core/src/broker/round.rs
+++ b/crates/dragonflystep_core/src/broker/round.rs
@@ -19,12 +19,12 @@
 };
 
 /// Share of an upstream's excess slowness that is removed in each round, so that it is used again in the end.
-const SLOWNESS_FORGIVEN: f64 = 0.03;
+const SLOWNESS_RECOVERY: f64 = 0.03;
 
 /// Share of the difference to its class by which an idle upstream's rates move in each round.
-const RATES_FORGIVEN: f64 = 0.005;
+const RATES_RECOVERY: f64 = 0.005;
 /// Time without an ended stream after which an upstream counts as idle.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_AFTER: Duration = Duration::from_secs(10);
 
 impl Group {
     /// Handles the group's timer. Deadlines and grants are handled each time, the rest once per round interval.
@@ -32,40 +32,42 @@
         if self.armed_at.is_some_and(|at| at <= context.now) {
             self.armed_at = None;
         }
-        self.refuse_passed(context);
-        let is_whole = context.now >= self.next_round_at;
-        if is_whole {
+        self.refuse_expired(context);
+        let is_full_round = context.now >= self.next_round_at;
+        if is_full_round {
             self.next_round_at = context.now + context.view.tuning.round;
-            self.look_after_slots(context);
-            self.forgive(context, shared);
+            self.check_slots(context);
+            self.recover_speed_estimates(context, shared);
             self.compare_reports(context);
-            self.outlive_left_behind(context.now);
-            self.settle_takeover(context);
+            self.drop_left_behind(context.now);
+            self.finish_takeover_if_known(context);
             self.queue.mark_late_before(context.now);
         }
-        self.pump(context, shared);
-        if is_whole {
-            self.send_news(context);
-            let receivers = self.audience.round(&context.view.members, context.now);
-            self.summarise(context, receivers);
+        self.grant_waiting(context, shared);
+        if is_full_round {
+            self.send_wait_updates(context);
+            let receivers = self
+                .summary_receivers
+                .round_receivers(&context.view.members, context.now);
+            self.send_summary(context, receivers);
         }
-        self.arm(context, shared);
+        self.arm_timer(context, shared);
     }
 
-    fn look_after_slots(&mut self, context: &mut Context<'_>) {
+    fn check_slots(&mut self, context: &mut Context<'_>) {
         if !self.takeover.is_done() {
-            self.ask_who_holds(context);
+            self.probe_all_holdings(context);
         }
         let slots = &self.slots;
-        self.undecided.retain(|key| slots.get(*key).is_some());
+        self.unattributed.retain(|key| slots.get(*key).is_some());
         let mut silent = BTreeSet::new();
         for key in self.expired(context.now) {
-            self.doubt(context, key);
+            self.mark_doubtful(context, key);
         }
         let in_doubt = self
             .slots
             .iter()
-            .filter(|(key, slot)| slot.is_doubtful() || self.undecided.contains(key));
+            .filter(|(key, slot)| slot.is_doubtful() || self.unattributed.contains(key));
         for (_, slot) in in_doubt {
             silent.insert(slot.entry.clone());
         }
@@ -78,12 +80,12 @@
 
     /// Moves slowness and idle upstreams' rates back towards normal, so that an upstream without new signs of slowness
     /// is tried again.
-    fn forgive(&mut self, context: &Context<'_>, shared: &Shared) {
+    fn recover_speed_estimates(&mut self, context: &Context<'_>, shared: &Shared) {
         for model in self.upstreams.values_mut() {
-            model.slowness += SLOWNESS_FORGIVEN * (1.0 - model.slowness);
-            if context.now >= model.learned_at + IDLE {
+            model.slowness += SLOWNESS_RECOVERY * (1.0 - model.slowness);
+            if context.now >= model.learned_at + IDLE_AFTER {
                 let class = shared.class_rates(&model.entry.class);
-                model.rates.drift_towards(&class, RATES_FORGIVEN);
+                model.rates.drift_towards(&class, RATES_RECOVERY);
             }
         }
     }
@@ -91,7 +93,7 @@
     fn expired(&self, now: Duration) -> Vec<SlotKey> {
         self.slots
             .iter()
-            .filter(|(_, slot)| slot.state == SlotState::Granted && slot.dead_at <= now)
+            .filter(|(_, slot)| slot.state == SlotState::Granted && slot.expires_at <= now)
             .map(|(key, _)| key)
             .collect()
     }
@@ -103,7 +105,7 @@
                 context.send(&slot.entry, message);
             }
             // A live entry node tells by its list whether it still wants a doubtful stream.
-            let is_wanted = slot.is_doubtful() && self.can_tell(context, key, slot);
+            let is_wanted = slot.is_doubtful() && self.entry_can_report(context, key, slot);
             if slot.unattended_since().is_some() && slot.cancellable && !is_wanted {
                 self.cancel_at_upstream(context, key);
             }
@@ -144,15 +146,15 @@
         let is_unattended = slot.is_some_and(|slot| slot.unattended_since().is_some());
         if is_unattended {
             self.slots.end(key);
-            self.pump(context, shared);
+            self.grant_waiting(context, shared);
         }
     }
 
     /// Whether the entry process that has a slot's grant is alive, as far as this node knows, and so can report on it.
-    fn can_tell(&self, context: &Context<'_>, key: SlotKey, slot: &Slot) -> bool {
+    fn entry_can_report(&self, context: &Context<'_>, key: SlotKey, slot: &Slot) -> bool {
         let present = incarnation_of(context.view, &slot.entry);
         let is_present = slot.incarnation.is_none() || slot.incarnation == present;
-        present.is_some() && (is_present || self.undecided.contains(&key))
+        present.is_some() && (is_present || self.unattributed.contains(&key))
     }
 
     /// Handles the end of a node's process, after which it no longer reports on its streams.
@@ -165,7 +167,7 @@
         node: &NodeId,
         incarnation: Incarnation,
     ) {
-        self.takeover.gone(node);
+        self.takeover.node_gone(node);
         let present = incarnation_of(context.view, node);
         let successor = present.filter(|present| *present != incarnation);
         let lost: Vec<SlotKey> = self
@@ -177,11 +179,11 @@
             .collect();
         for key in lost {
             if successor.is_some() {
-                self.undecided.insert(key);
+                self.unattributed.insert(key);
                 continue;
             }
-            self.undecided.remove(&key);
-            self.doubt(context, key);
+            self.unattributed.remove(&key);
+            self.mark_doubtful(context, key);
             if self.slots.get(key).is_some_and(|slot| slot.cancellable) {
                 self.cancel_at_upstream(context, key);
             }
@@ -190,7 +192,7 @@
 
     /// Handles a node that joined. An earlier holder of the group may have granted slots to it, so it is asked.
     pub fn member_joined(&mut self, context: &mut Context<'_>, node: &NodeId) {
-        self.takeover.joined(node);
+        self.takeover.node_joined(node);
         self.probe_holdings(context, node);
     }
 
@@ -206,26 +208,26 @@
         self.compare_reports(context);
         // The report is compared at once to keep a takeover short, and again when more is known of what ran.
         self.compare_report(upstream, report);
-        let useful_from = self.takeover.bounded_from();
+        let useful_from = self.takeover.reports_bound_from();
         if let Some(model) = self.upstreams.get_mut(upstream) {
             if queued > 0 {
-                let factor = super::adaptive_limit::AFTER_ENGINE_QUEUE;
+                let factor = super::adaptive_limit::ENGINE_QUEUE_DECREASE;
                 model.limit.decrease(report.sampled_at, factor);
             }
-            model.load_reported(report, useful_from);
+            model.keep_report(report, useful_from);
         }
-        self.ask_what_runs(context, upstream);
-        self.settle_takeover(context);
-        self.pump(context, shared);
+        self.probe_running(context, upstream);
+        self.finish_takeover_if_known(context);
+        self.grant_waiting(context, shared);
     }
 
     /// During a takeover, asks the entry nodes of an upstream's streams whether those still run, after a load report
-    /// arrived. Only streams that are known to have run past the report's sample time count as explained by it.
-    fn ask_what_runs(&self, context: &mut Context<'_>, upstream: &UpstreamId) {
+    /// arrived. Only streams known to have run past the report's sample time are subtracted from the reported number.
+    fn probe_running(&self, context: &mut Context<'_>, upstream: &UpstreamId) {
         let is_bounding = self
             .upstreams
             .get(upstream)
-            .is_some_and(|model| model.unexplained.is_some_and(|unexplained| unexplained > 0));
+            .is_some_and(|model| model.untracked.is_some_and(|untracked| untracked > 0));
         if self.takeover.is_done() || !is_bounding {
             return;
         }
@@ -281,18 +283,24 @@
         let Some(model) = self.upstreams.get_mut(upstream) else {
             return;
         };
-        let from = self.takeover.bounded_from().max(model.unexplained_as_of);
+        let from = self
+            .takeover
+            .reports_bound_from()
+            .max(model.untracked_as_of);
         if report.sampled_at >= from {
-            let before = model.unexplained.unwrap_or(u32::MAX);
-            model.unexplained = Some(before.min(unknown));
+            let before = model.untracked.unwrap_or(u32::MAX);
+            model.untracked = Some(before.min(unknown));
         }
-        if model.unexplained == Some(0) {
+        if model.untracked == Some(0) {
             self.end_unattended(upstream, report.sampled_at, unknown);
         }
     }
 
-    /// Removes the unattended streams of an upstream if a report shows that at most `unknown` of them, and not all, ran
-    /// at `sampled_at`.
+    /// Removes the slots of an upstream's unattended streams when a load report shows that fewer of them ran at
+    /// `sampled_at` than there are slots; `unknown` is the most that may have run.
+    ///
+    /// On an upstream with a token limit, this is done only if none of them ran, since the tokens of a stream without
+    /// a slot are unknown.
     fn end_unattended(&mut self, upstream: &UpstreamId, sampled_at: Duration, unknown: u32) {
         let unattended: Vec<SlotKey> = self
             .slots
@@ -312,16 +320,16 @@
             return;
         }
         // It is not known which of them still run, so the remaining ones are only counted from now on.
-        model.unexplained = Some(unknown);
-        model.unexplained_as_of = sampled_at;
+        model.untracked = Some(unknown);
+        model.untracked_as_of = sampled_at;
         for key in unattended {
             self.slots.remove(key);
         }
     }
 
     /// Removes streams of unknown state after [`LONGEST_LEFT_BEHIND`] on upstreams that never report their load.
-    fn outlive_left_behind(&mut self, now: Duration) {
-        let older_are_over = now >= self.takeover.dead_at() + LONGEST_LEFT_BEHIND;
+    fn drop_left_behind(&mut self, now: Duration) {
+        let older_are_over = now >= self.takeover.expires_at() + LONGEST_LEFT_BEHIND;
         let mut silent = BTreeSet::new();
         for (id, model) in &mut self.upstreams {
             if model.has_reported {
@@ -329,7 +337,7 @@
             }
             silent.insert(id.clone());
             if older_are_over {
-                model.unexplained = Some(0);
+                model.untracked = Some(0);
             }
         }
         let over: Vec<SlotKey> = self
@@ -348,11 +356,11 @@
     }
 
     /// Ends the takeover once every stream that may run on the upstreams has a slot and no old grant can be started.
-    pub(super) fn settle_takeover(&mut self, context: &mut Context<'_>) {
+    pub(super) fn finish_takeover_if_known(&mut self, context: &mut Context<'_>) {
         if self.takeover.is_done() {
             return;
         }
-        if !self.all_explained() || self.takeover.old_grants_live(context.now) {
+        if !self.all_tracked() || self.takeover.old_grants_live(context.now) {
             self.warn_of_long_takeover(context);
             return;
         }
@@ -369,26 +377,26 @@
         );
     }
 
-    fn all_explained(&self) -> bool {
+    fn all_tracked(&self) -> bool {
         let mut models = self.upstreams.values();
-        models.all(|model| model.unexplained == Some(0))
+        models.all(|model| model.untracked == Some(0))
     }
 
     /// Whether every stream that may run on the group's upstreams has a slot.
-    pub(super) fn nothing_hidden(&self) -> bool {
-        self.takeover.is_done() && self.all_explained()
+    pub(super) fn all_streams_known(&self) -> bool {
+        self.takeover.is_done() && self.all_tracked()
     }
 
     /// Logs once which nodes and upstreams prevent slots from being granted, for operators.
     fn warn_of_long_takeover(&mut self, context: &mut Context<'_>) {
-        if !self.takeover.is_long(context.now) {
+        if !self.takeover.warning_due(context.now) {
             return;
         }
         let nodes: Vec<&str> = self.takeover.waiting_on().map(AsRef::as_ref).collect();
         let upstreams: Vec<&str> = self
             .upstreams
             .iter()
-            .filter(|(_, model)| model.unexplained != Some(0))
+            .filter(|(_, model)| model.untracked != Some(0))
             .map(|(id, _)| id.as_ref())
             .collect();
         let fields = vec![
@@ -405,15 +413,18 @@
     }
 
     /// Sends a summary to the nodes that asked recently, when the last free slot was taken or a slot became free.
-    pub(super) fn tell_turn(&mut self, context: &mut Context<'_>) {
+    pub(super) fn announce_free_slots(&mut self, context: &mut Context<'_>) {
         let has_free = self.may_grant(context) && self.free_slots(context.view, context.now) > 0;
-        if self.audience.turned(has_free, context.now) {
-            let receivers = self.audience.lately(context.now);
-            self.summarise(context, receivers);
+        if self
+            .summary_receivers
+            .free_slots_changed(has_free, context.now)
+        {
+            let receivers = self.summary_receivers.recent_nodes(context.now);
+            self.send_summary(context, receivers);
         }
     }
 
-    fn summarise(&self, context: &mut Context<'_>, receivers: BTreeSet<NodeId>) {
+    fn send_summary(&self, context: &mut Context<'_>, receivers: BTreeSet<NodeId>) {
         let summary = self.summary(context);
         let own = context.view.node.id.clone();
         for node in receivers.into_iter().chain([own]) {
@@ -423,7 +434,7 @@
 
     fn summary(&self, context: &Context<'_>) -> Summary {
         let view = &context.view;
-        let lowest = self.lowest_tier;
+        let lowest = self.least_urgent_tier;
         let free_slots = if self.may_grant(context) {
             self.free_slots(view, context.now)
         } else {
@@ -441,7 +452,7 @@
             service: self.service.clone(),
             free_slots,
             predicted_wait: (0..=lowest)
-                .map(|tier| self.wait_of_tier(view, context.now, tier))
+                .map(|tier| self.predicted_tier_wait(view, context.now, tier))
                 .collect(),
             prefill_per_thousand: total / u32::try_from(models).unwrap_or(u32::MAX),
         }
--- a/crates/dragonflystep_core/src/broker/settled.rs
+++ b/crates/dragonflystep_core/src/broker/settled.rs
@@ -11,12 +11,12 @@
 
 /// Latest answers of one group, the oldest dropped first.
 #[derive(Debug, Default)]
-pub struct SettledAsks {
+pub struct AnsweredAsks {
     answers: BTreeMap<AskKey, Message>,
     order: VecDeque<AskKey>,
 }
 
-impl SettledAsks {
+impl AnsweredAsks {
     /// Records the answer to an ask; a later answer to the same ask replaces it.
     pub fn insert(&mut self, key: AskKey, answer: Message) {
         if self.answers.insert(key.clone(), answer).is_some() {
--- a/crates/dragonflystep_core/src/broker/shared.rs
+++ b/crates/dragonflystep_core/src/broker/shared.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         directory::Directory,
-        overload::{Floors, YieldRounds},
+        overload::{TierFloors, YieldRounds},
         quarantine::{Quarantine, Verdict},
         rates::Rates,
     },
@@ -17,7 +17,7 @@
     /// Index of the catalogue by service and by group.
     pub directory: Directory,
     /// Tier floors set by yield rounds: less urgent tiers get no grants.
-    pub floors: Floors,
+    pub floors: TierFloors,
     /// Yield rounds that this node started.
     pub rounds: YieldRounds,
     /// Requests that are suspected of, or quarantined for, crashing upstreams.
@@ -33,10 +33,10 @@
     }
 
     /// Removes expired floors, rounds and suspicions.
-    pub fn forget_old(&mut self, now: Duration) {
-        self.floors.forget_old(now);
-        self.rounds.forget_old(now);
-        self.quarantine.forget_old(now);
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.floors.remove_expired(now);
+        self.rounds.remove_expired(now);
+        self.quarantine.remove_expired(now);
     }
 
     /// How a request is to be treated, given the crashes that it was involved in.
--- a/crates/dragonflystep_core/src/broker/slots.rs
+++ b/crates/dragonflystep_core/src/broker/slots.rs
@@ -1,7 +1,8 @@
 //! Slots: every grant that may occupy an upstream, and the capacity that it uses.
 //!
 //! A slot is removed only on evidence that its stream does not run: a message of its entry node, a confirmed
-//! cancellation, or a load report that was sampled after the slot became unattended.
+//! cancellation, or a load report that was sampled after the slot became unattended. On an upstream that never
+//! reports its load, an unattended slot is removed after a fixed time instead.
 
 use {
     crate::ids::{
@@ -14,7 +15,7 @@
 };
 
 /// Maximum number of ended grants that are remembered, so that a late list of grants does not restore one.
-const ENDED_MEMORY: usize = 4096;
+const MAX_ENDED_GRANTS: usize = 4096;
 
 /// Identifies a slot within its group: the epoch and the number of its grant.
 pub type SlotKey = (Epoch, GrantId);
@@ -58,7 +59,7 @@
     pub tier: Tier,
     /// Client account of the request.
     pub account: AccountId,
-    /// Whether the stream may be cancelled to make room for a more urgent tier.
+    /// Whether the broker may cancel the stream, at its entry node or at the upstream.
     pub cancellable: bool,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
@@ -73,13 +74,13 @@
     /// Fingerprint of the request; `None` if the slot was learned from an entry node's list.
     pub fingerprint: Option<Fingerprint>,
     /// Whether nothing else may run on the upstream, as the request is suspected of crashing upstreams.
-    pub alone: bool,
+    pub exclusive: bool,
     /// When it was granted, or first reported by its entry node.
     pub granted_at: Duration,
     /// Time from which the entry node can no longer start the request under this grant.
-    pub dead_at: Duration,
+    pub expires_at: Duration,
     /// When its entry node last reported that it holds the grant.
-    pub heard_at: Duration,
+    pub last_reported_at: Duration,
     /// Tokens received so far, by the entry node's last report.
     pub tokens: u32,
     /// Whether the entry node was told to cancel the stream.
@@ -110,7 +111,7 @@
         self.prefill_seconds
     }
 
-    /// Whether the entry node can no longer report on the stream, or did not.
+    /// Whether the entry node is gone, or never reported what happened to the grant.
     pub fn is_doubtful(&self) -> bool {
         matches!(self.state, SlotState::Doubtful { .. })
     }
@@ -132,7 +133,7 @@
     /// Tokens that the streams may hold at most.
     pub held_tokens: u64,
     /// Number of slots that exclude other work on the upstream.
-    pub alone: u32,
+    pub exclusive: u32,
     /// Uncached prompt tokens of the slots without a first token.
     pub prefill_tokens: u64,
     /// Predicted time to compute those prompts, in seconds.
@@ -154,7 +155,7 @@
         let usage = self.usage.entry(slot.upstream.clone()).or_default();
         usage.running += 1;
         usage.held_tokens += slot.held_tokens();
-        usage.alone += u32::from(slot.alone);
+        usage.exclusive += u32::from(slot.exclusive);
         usage.prefill_tokens += slot.prefill_tokens();
         usage.prefill_seconds += slot.prefill_seconds_left();
         self.slots.insert(key, slot);
@@ -166,7 +167,7 @@
         if let Some(usage) = self.usage.get_mut(&slot.upstream) {
             usage.running -= 1;
             usage.held_tokens -= slot.held_tokens();
-            usage.alone -= u32::from(slot.alone);
+            usage.exclusive -= u32::from(slot.exclusive);
             usage.prefill_tokens -= slot.prefill_tokens();
             usage.prefill_seconds -= slot.prefill_seconds_left();
             if usage.running == 0 {
@@ -179,7 +180,7 @@
     /// Removes a slot whose stream has ended; a late list of its entry node cannot restore it.
     pub fn end(&mut self, key: SlotKey) -> Option<Slot> {
         self.ended.insert(key);
-        if self.ended.len() > ENDED_MEMORY {
+        if self.ended.len() > MAX_ENDED_GRANTS {
             self.ended.pop_first();
         }
         self.remove(key)
@@ -188,7 +189,7 @@
     /// Marks a slot as released: its entry node gave up the stream, but the upstream may still run it.
     pub fn release(&mut self, key: SlotKey, since: Duration) {
         // Its prompt needs no more prefill: it was cancelled or is done.
-        self.progressed(key, 1);
+        self.record_tokens(key, 1);
         if let Some(slot) = self.slots.get_mut(&key) {
             slot.state = SlotState::Released { since };
         }
@@ -205,7 +206,7 @@
     }
 
     /// Records how many tokens a stream has produced, and updates the remaining prefill.
-    pub fn progressed(&mut self, key: SlotKey, tokens: u32) {
+    pub fn record_tokens(&mut self, key: SlotKey, tokens: u32) {
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
@@ -252,11 +253,11 @@
     /// Number of streams that certainly ran on an upstream at `sampled_at`, since their entry nodes reported them as
     /// running both before and after that time.
     ///
-    /// Streams that may have ended before are not counted, so that a report is never explained by too many streams.
+    /// Streams that may have ended before are not counted, so that too many are never subtracted from a load report.
     pub fn running_at(&self, upstream: &str, sampled_at: Duration, margin: Duration) -> u32 {
         let known = self.slots.values().filter(|slot| {
             slot.upstream.as_ref() == upstream
-                && slot.heard_at >= sampled_at + margin
+                && slot.last_reported_at >= sampled_at + margin
                 && matches!(slot.state, SlotState::Running { since } if since + margin <= sampled_at)
         });
         u32::try_from(known.count()).unwrap_or(u32::MAX)
--- a/crates/dragonflystep_core/src/broker/supply.rs
+++ b/crates/dragonflystep_core/src/broker/supply.rs
@@ -17,7 +17,7 @@
 };
 
 /// Whether an upstream accepts new work: it is active in the catalogue and has not announced that it leaves.
-pub(super) fn takes_work(view: &View, upstream: &Upstream) -> bool {
+pub(super) fn accepts_work(view: &View, upstream: &Upstream) -> bool {
     let Some(entry) = view.catalogue.upstream(&upstream.id) else {
         return false;
     };
@@ -31,7 +31,7 @@
 }
 
 /// Kind of a service; `Plain` if the catalogue does not contain it.
-pub(super) fn kind_of(view: &View, service: &str) -> ServiceKind {
+pub(super) fn service_kind(view: &View, service: &str) -> ServiceKind {
     view.catalogue
         .service(service)
         .map_or(ServiceKind::Plain, |each| each.kind)
@@ -40,11 +40,11 @@
 impl Group {
     /// Applies added, changed and removed upstreams of the catalogue.
     pub fn catalogue_applied(&mut self, context: &mut Context<'_>, shared: &Shared) {
-        self.lowest_tier = shared.directory.lowest_tier();
+        self.least_urgent_tier = shared.directory.least_urgent_tier();
         let entries = shared.directory.upstreams(&self.id);
         if let Some(first) = entries.first() {
             self.service = first.service.clone();
-            self.kind = kind_of(context.view, &self.service);
+            self.kind = service_kind(context.view, &self.service);
         }
         let gone: Vec<UpstreamId> = self
             .upstreams
@@ -68,9 +68,9 @@
                 }
                 continue;
             }
-            let unexplained = self.takeover.unexplained_on_new_upstream();
+            let untracked = self.takeover.untracked_on_new_upstream();
             let class = shared.class_rates(&entry.class);
-            let model = UpstreamModel::new(entry.clone(), &class, unexplained);
+            let model = UpstreamModel::new(entry.clone(), &class, untracked);
             self.upstreams.insert(entry.id.clone(), model);
             self.watch(context, entry);
         }
@@ -85,21 +85,26 @@
     }
 
     /// Whether any upstream of the group accepts work and is large enough for the ask.
-    pub(super) fn can_ever_take(&self, view: &View, ask: &Ask) -> bool {
+    pub(super) fn can_fit(&self, view: &View, ask: &Ask) -> bool {
         self.upstreams
             .values()
-            .any(|model| takes_work(view, &model.entry) && fits(&model.entry, ask))
+            .any(|model| accepts_work(view, &model.entry) && fits(&model.entry, ask))
     }
 
     /// Refusal of an ask that fits no upstream of this group: names another group that could take it, if there is one.
-    pub(super) fn nowhere_here(&self, view: &View, shared: &Shared, ask: &Ask) -> AskRefusal {
+    pub(super) fn refusal_without_fit(
+        &self,
+        view: &View,
+        shared: &Shared,
+        ask: &Ask,
+    ) -> AskRefusal {
         let groups = shared.directory.groups(&self.service);
         let other = groups.iter().find(|group| {
             let upstreams = shared.directory.upstreams(group);
             **group != self.id
                 && upstreams
                     .iter()
-                    .any(|entry| takes_work(view, entry) && fits(entry, ask))
+                    .any(|entry| accepts_work(view, entry) && fits(entry, ask))
         });
         match other {
             Some(group) => AskRefusal::Elsewhere {
@@ -113,7 +118,7 @@
 
     /// Combines an entry node's report of a crash, in which it saw `seen` of its own requests on the upstream, with
     /// what the group knows of the upstream and of the request with this fingerprint.
-    pub(super) fn crash(
+    pub(super) fn describe_crash(
         &self,
         upstream: &UpstreamId,
         fingerprint: Fingerprint,
@@ -128,24 +133,24 @@
         let failed = model.and_then(|model| model.failed_grant(fingerprint, now));
         let last_grant = on_upstream()
             .filter(|slot| slot.fingerprint == Some(fingerprint))
-            .map(|slot| (slot.granted_at, slot.alone))
+            .map(|slot| (slot.granted_at, slot.exclusive))
             .chain(failed)
             .max();
-        let alone = seen <= 1 && last_grant.is_some_and(|(_, alone)| alone);
+        let exclusive = seen <= 1 && last_grant.is_some_and(|(_, exclusive)| exclusive);
         // A stream that broke off stays as a released slot until the upstream has certainly ended it.
         let attended =
             on_upstream().filter(|slot| !matches!(slot.state, SlotState::Released { .. }));
-        let failures = model.map_or(0, |model| model.failed_lately(now));
+        let failures = model.map_or(0, |model| model.recent_failure_count(now));
         let known = u32::try_from(attended.count()).unwrap_or(u32::MAX);
         Crash {
             upstream: upstream.clone(),
-            on_board: if alone {
+            request_count: if exclusive {
                 1
             } else {
                 seen.max(known.saturating_add(failures))
             },
             granted_at: last_grant.map(|(granted_at, _)| granted_at),
-            alone,
+            exclusive,
         }
     }
 
@@ -165,7 +170,7 @@
         evicted: &[BlockHash],
     ) {
         if let Some(model) = self.upstreams.get_mut(upstream) {
-            model.cache.reported(sequence, stored, evicted);
+            model.cache.apply_report(sequence, stored, evicted);
         }
     }
 }
--- a/crates/dragonflystep_core/src/broker/takeover.rs
+++ b/crates/dragonflystep_core/src/broker/takeover.rs
@@ -7,29 +7,29 @@
 //!
 //! A service may publish no load at all. Then only time gives certainty: a stream that was left behind counts as over
 //! once its caller's longest deadline has passed, since its answer is useless after that. An upstream that
-//! never reported counts as explained after [`LONGEST_LEFT_BEHIND`], and a slot on it that no node reports is removed
-//! after the same time; otherwise one lost node would block its capacity forever. An upstream that has ever
-//! reported is bounded by its reports alone.
+//! never reported counts as free of such streams after [`LONGEST_LEFT_BEHIND`], and a slot on it that no node
+//! reports is removed after the same time; otherwise one lost node would block its capacity forever. An
+//! upstream that has ever reported is bounded by its reports alone.
 
 use {
     crate::ids::{Epoch, NodeId},
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// Minimum age of a stream's last change of state at the sample time of a report that is to say something about it.
-/// It allows for requests that were in transit.
+/// How much later than a stream's last change of state a load report must be sampled to count for that stream.
+/// Allows for requests that were in transit.
 pub const REPORT_MARGIN: Duration = Duration::from_millis(250);
 
 /// How long a stream that no node reports may run on an upstream that never reported its load.
 pub const LONGEST_LEFT_BEHIND: Duration = Duration::from_secs(60);
 
 /// How long a takeover may last, after the old grants have expired, before a warning is logged.
-const LONG_TAKEOVER: Duration = Duration::from_secs(10);
+const WARN_AFTER: Duration = Duration::from_secs(10);
 
 /// Progress of a group's takeover.
 #[derive(Debug)]
 pub struct Takeover {
-    dead_at: Duration,
+    expires_at: Duration,
     waiting_on: BTreeSet<NodeId>,
     needed: bool,
     done: bool,
@@ -40,7 +40,7 @@
     /// A takeover that is already done, for a group that had no holder before.
     pub fn not_needed() -> Self {
         Self {
-            dead_at: Duration::ZERO,
+            expires_at: Duration::ZERO,
             waiting_on: BTreeSet::new(),
             needed: false,
             done: true,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Starts the takeover for an epoch. Grants of older epochs expire at `dead_at`, and `nodes` have to list their
+    /// Starts the takeover for an epoch. Grants of older epochs expire at `expires_at`, and `nodes` have to list their
     /// grants. The first epoch needs no takeover.
-    pub fn for_epoch(epoch: Epoch, dead_at: Duration, nodes: BTreeSet<NodeId>) -> Self {
+    pub fn for_epoch(epoch: Epoch, expires_at: Duration, nodes: BTreeSet<NodeId>) -> Self {
         if epoch <= 1 {
             return Self::not_needed();
         }
         Self {
-            dead_at,
+            expires_at,
             waiting_on: nodes,
             needed: true,
             done: false,
@@ -65,31 +65,31 @@
 
     /// Whether entry nodes may still start requests under grants of older epochs.
     pub fn old_grants_live(&self, now: Duration) -> bool {
-        now < self.dead_at
+        now < self.expires_at
     }
 
     /// Earliest sample time of a load report that bounds the streams of older epochs.
-    pub fn bounded_from(&self) -> Duration {
-        self.dead_at + REPORT_MARGIN
+    pub fn reports_bound_from(&self) -> Duration {
+        self.expires_at + REPORT_MARGIN
     }
 
     /// When the grants of older epochs expire.
-    pub fn dead_at(&self) -> Duration {
-        self.dead_at
+    pub fn expires_at(&self) -> Duration {
+        self.expires_at
     }
 
     /// Records that a node has listed its grants. Returns whether the takeover was waiting for it.
-    pub fn heard(&mut self, node: &NodeId) -> bool {
+    pub fn node_reported(&mut self, node: &NodeId) -> bool {
         self.waiting_on.remove(node)
     }
 
     /// Stops waiting for a node that is gone.
-    pub fn gone(&mut self, node: &NodeId) {
+    pub fn node_gone(&mut self, node: &NodeId) {
         self.waiting_on.remove(node);
     }
 
     /// Waits for a node that joined, since it may hold grants.
-    pub fn joined(&mut self, node: &NodeId) {
+    pub fn node_joined(&mut self, node: &NodeId) {
         if !self.done {
             self.waiting_on.insert(node.clone());
         }
@@ -107,13 +107,13 @@
     }
 
     /// Maximum number of streams without a slot on an upstream that is added now; `None` if unknown.
-    pub fn unexplained_on_new_upstream(&self) -> Option<u32> {
+    pub fn untracked_on_new_upstream(&self) -> Option<u32> {
         (!self.needed).then_some(0)
     }
 
     /// Whether the takeover has lasted so long that a warning is due; true at most once.
-    pub fn is_long(&mut self, now: Duration) -> bool {
-        if self.warned || now < self.dead_at + LONG_TAKEOVER {
+    pub fn warning_due(&mut self, now: Duration) -> bool {
+        if self.warned || now < self.expires_at + WARN_AFTER {
             return false;
         }
         self.warned = true;
--- a/crates/dragonflystep_core/src/broker/upstream.rs
+++ b/crates/dragonflystep_core/src/broker/upstream.rs
@@ -32,7 +32,7 @@
     at: Duration,
     fingerprint: Option<Fingerprint>,
     granted_at: Duration,
-    alone: bool,
+    exclusive: bool,
 }
 
 /// State and predictions of one upstream of a held group.
@@ -53,12 +53,12 @@
     /// Whether it has ever reported its load.
     pub has_reported: bool,
     /// Maximum number of running streams that have no slot; `None` if unknown, and then nothing is granted here.
-    pub unexplained: Option<u32>,
-    /// Reports sampled before this time do not bound `unexplained`.
-    pub unexplained_as_of: Duration,
+    pub untracked: Option<u32>,
+    /// Reports sampled before this time do not bound `untracked`.
+    pub untracked_as_of: Duration,
     /// Suspect ask that gets this upstream exclusively once it is empty; other asks get no grants here until then.
     pub reserved_for: Option<AskKey>,
-    /// Predicted time at which the granted prompts are computed.
+    /// Predicted time at which all prompts granted so far will have been computed.
     pub prefill_until: Duration,
     /// End times of its latest prompts.
     pub prompt_ends: PromptEnds,
@@ -69,7 +69,7 @@
 
 impl UpstreamModel {
     /// Creates the model of an upstream, starting from the rates of its class.
-    pub fn new(entry: Arc<Upstream>, class: &Rates, unexplained: Option<u32>) -> Self {
+    pub fn new(entry: Arc<Upstream>, class: &Rates, untracked: Option<u32>) -> Self {
         Self {
             limit: AdaptiveLimit::new(entry.limits.running_requests),
             entry,
@@ -78,8 +78,8 @@
             slowness: 1.0,
             pending_report: None,
             has_reported: false,
-            unexplained,
-            unexplained_as_of: Duration::ZERO,
+            untracked,
+            untracked_as_of: Duration::ZERO,
             reserved_for: None,
             prefill_until: Duration::ZERO,
             prompt_ends: PromptEnds::default(),
@@ -119,7 +119,7 @@
     ///
     /// A report that is already pending is kept instead, unless it was sampled before `useful_from` and so bounds
     /// nothing.
-    pub fn load_reported(&mut self, report: LoadReport, useful_from: Duration) {
+    pub fn keep_report(&mut self, report: LoadReport, useful_from: Duration) {
         self.has_reported = true;
         let keeps = |pending: &LoadReport| pending.sampled_at >= useful_from;
         if !self.pending_report.as_ref().is_some_and(keeps) {
@@ -128,20 +128,20 @@
     }
 
     /// Records that a stream broke off.
-    pub fn stream_failed(&mut self, now: Duration, slot: &Slot) {
+    pub fn record_failure(&mut self, now: Duration, slot: &Slot) {
         self.failures
             .retain(|failure| now < failure.at + CRASH_WINDOW);
         self.failures.push(Failure {
             at: now,
             fingerprint: slot.fingerprint,
             granted_at: slot.granted_at,
-            alone: slot.alone,
+            exclusive: slot.exclusive,
         });
     }
 
     /// Number of streams that broke off so recently that one crash may have caused it.
-    pub fn failed_lately(&self, now: Duration) -> u32 {
-        u32::try_from(self.failures_lately(now).count()).unwrap_or(u32::MAX)
+    pub fn recent_failure_count(&self, now: Duration) -> u32 {
+        u32::try_from(self.recent_failures(now).count()).unwrap_or(u32::MAX)
     }
 
     /// When a request that broke off recently was granted, and whether it had the upstream exclusively.
@@ -150,13 +150,13 @@
         fingerprint: Fingerprint,
         now: Duration,
     ) -> Option<(Duration, bool)> {
-        self.failures_lately(now)
+        self.recent_failures(now)
             .filter(|failure| failure.fingerprint == Some(fingerprint))
-            .map(|failure| (failure.granted_at, failure.alone))
+            .map(|failure| (failure.granted_at, failure.exclusive))
             .max()
     }
 
-    fn failures_lately(&self, now: Duration) -> impl Iterator<Item = &Failure> {
+    fn recent_failures(&self, now: Duration) -> impl Iterator<Item = &Failure> {
         let failures = self.failures.iter();
         failures.filter(move |failure| now < failure.at + CRASH_WINDOW)
     }
