--- a/crates/dragonflystep_core/src/broker/load.rs
+++ b/crates/dragonflystep_core/src/broker/load.rs
@@ -1,10 +1,10 @@
-//! Brokers of one service agree before a tier is refused for load.
+//! Agreement among the brokers of a service before a tier is refused for overload.
 
 use {
     super::{
         Brokers,
         group::Group,
-        overload::{YieldRound, ending, victims},
+        overload::{YieldRound, cancelled_count, select_victims},
         slots::SlotKey,
     },
     crate::{
@@ -20,14 +20,14 @@
 };
 
 impl Group {
-    /// The group's service.
+    /// Id of the service that the group belongs to.
     pub fn service(&self) -> &ServiceId {
         &self.service
     }
 
-    /// What the group says to a yield for `tier`.
+    /// The group's answer to another broker's yield request for `tier`.
     fn yield_state(&self, context: &Context<'_>, tier: Tier) -> YieldState {
-        if !self.may_grant(context) || !self.nothing_hidden() {
+        if !self.may_grant(context) || !self.all_streams_known() {
             return YieldState::Busy;
         }
         let free = self.free_slots(context.view, context.now) as usize;
@@ -40,13 +40,14 @@
         YieldState::Clear
     }
 
-    /// Whether nothing below `tier` is served here.
+    /// Whether the group certainly serves nothing less urgent than `tier`: all its streams are known and none is of
+    /// such a tier.
     fn is_clear(&self, tier: Tier) -> bool {
-        self.nothing_hidden() && !self.slots.serves_below(tier)
+        self.all_streams_known() && !self.slots.serves_below(tier)
     }
 
-    /// Asks of a tier for which lower streams are to make room.
-    fn pressing(&self, view: &View, tier: Tier) -> usize {
+    /// Number of asks of a tier for which streams of less urgent tiers may be cancelled, by the overload policy.
+    fn preemption_demand(&self, view: &View, tier: Tier) -> usize {
         let policy = view.catalogue.service(&self.service);
         let policy = policy.map(|each| each.overload_policy).unwrap_or_default();
         match policy {
@@ -55,14 +56,15 @@
         }
     }
 
-    /// Cancels as many lower streams as have to make room for `wanted` asks of `tier`.
-    fn make_room(&mut self, context: &mut Context<'_>, tier: Tier, wanted: usize) {
-        let missing = wanted.saturating_sub(ending(&self.slots, tier));
+    /// Cancels enough streams of less urgent tiers to make room for `wanted` asks of `tier`. Streams that were
+    /// cancelled earlier and still occupy a slot count towards the number.
+    fn preempt_for(&mut self, context: &mut Context<'_>, tier: Tier, wanted: usize) {
+        let missing = wanted.saturating_sub(cancelled_count(&self.slots, tier));
         if missing == 0 || !self.may_grant(context) {
             return;
         }
-        let chosen: Vec<SlotKey> = victims(&self.slots, tier, missing, |upstream| {
-            self.upstream_takes_work(context.view, upstream)
+        let chosen: Vec<SlotKey> = select_victims(&self.slots, tier, missing, |upstream| {
+            self.upstream_accepts_work(context.view, upstream)
         });
         for key in chosen {
             self.cancel(context, key, tier);
@@ -80,13 +82,16 @@
             ("grant", format!("{}/{}", key.0, key.1)),
             ("upstream", slot.upstream.to_string()),
             ("tier", slot.tier.to_string()),
-            ("reason", format!("A request of tier {tier} lacks room.")),
+            (
+                "reason",
+                format!("A request of tier {tier} needs its slot."),
+            ),
         ];
         context.send(&slot.entry, Message::CancelGrant(name));
         context.log(LogLevel::Info, "Cancelled a stream.", fields);
     }
 
-    /// Refuses the late asks of a tier, since nobody serves a lower one.
+    /// Refuses the late asks of a tier; called once no broker of the service serves a less urgent one.
     fn refuse_late(&mut self, context: &mut Context<'_>, tier: Tier) {
         for key in self.queue.late(tier) {
             let Some(queued) = self.queue.get(&key) else {
@@ -103,8 +108,8 @@
         }
     }
 
-    /// Sends one late ask of a tier to a group that has room.
-    fn move_late(&mut self, context: &mut Context<'_>, tier: Tier, group: &GroupId) -> bool {
+    /// Redirects one late ask of a tier to another group that has free slots. Returns whether there was one.
+    fn redirect_late(&mut self, context: &mut Context<'_>, tier: Tier, group: &GroupId) -> bool {
         let late = self.queue.late(tier);
         let Some(key) = late.first() else {
             return false;
@@ -118,8 +123,9 @@
 }
 
 impl Brokers {
-    /// What follows from a change of a group: summaries, room for late asks, refusals for load.
-    pub(super) fn settle(&mut self, context: &mut Context<'_>, id: &str) {
+    /// Handles the consequences of a change in a group: makes room for urgent asks, relieves late ones, and sends a
+    /// summary if free slots came or went.
+    pub(super) fn group_changed(&mut self, context: &mut Context<'_>, id: &str) {
         let Some(group) = self.groups.get_mut(id) else {
             return;
         };
@@ -129,35 +135,42 @@
             let Some(group) = self.groups.get_mut(id) else {
                 return;
             };
-            let wanted = group.pressing(context.view, tier);
-            group.make_room(context, tier, wanted);
+            let wanted = group.preemption_demand(context.view, tier);
+            group.preempt_for(context, tier, wanted);
             if group.queue.late_count(tier) > 0 && group.may_grant(context) {
-                self.relieve(context, id, &service, tier);
+                self.relieve_overload(context, id, &service, tier);
             }
         }
         if let Some(group) = self.groups.get_mut(id) {
-            group.tell_turn(context);
+            group.announce_free_slots(context);
         }
     }
 
-    /// Moves or refuses the late asks of a tier, or asks the other brokers to yield first.
-    fn relieve(&mut self, context: &mut Context<'_>, id: &str, service: &ServiceId, tier: Tier) {
-        self.move_to_own_room(context, id, service, tier);
-        if !self.all_clear(context, service, tier) {
-            self.begin_round(context, service, tier);
+    /// Relieves the late asks of a tier: redirects one to another group of this node, asks the other brokers to yield,
+    /// and refuses the rest once every broker has agreed.
+    fn relieve_overload(
+        &mut self,
+        context: &mut Context<'_>,
+        id: &str,
+        service: &ServiceId,
+        tier: Tier,
+    ) {
+        self.redirect_to_own_group(context, id, service, tier);
+        if !self.all_yielded(context, service, tier) {
+            self.begin_yield_round(context, service, tier);
         }
         let refuses = context.view.tuning.policy.early_refusal;
         if refuses
-            && self.all_clear(context, service, tier)
+            && self.all_yielded(context, service, tier)
             && let Some(group) = self.groups.get_mut(id)
         {
             group.refuse_late(context, tier);
-            group.pump(context, &mut self.shared);
+            group.grant_waiting(context, &mut self.shared);
         }
     }
 
-    /// Sends a late ask to another group of this node that has room.
-    fn move_to_own_room(
+    /// Redirects a late ask to another group that this node holds and that has free slots.
+    fn redirect_to_own_group(
         &mut self,
         context: &mut Context<'_>,
         id: &str,
@@ -173,12 +186,13 @@
         if let Some(other) = with_room
             && let Some(group) = self.groups.get_mut(id)
         {
-            group.move_late(context, tier, &other);
+            group.redirect_late(context, tier, &other);
         }
     }
 
-    /// Whether no broker of the service serves anything below `tier`, and none starts it for now.
-    fn all_clear(&self, context: &Context<'_>, service: &ServiceId, tier: Tier) -> bool {
+    /// Whether no broker of the service serves anything less urgent than `tier`, and none will start doing so before
+    /// the yield round expires.
+    fn all_yielded(&self, context: &Context<'_>, service: &ServiceId, tier: Tier) -> bool {
         let Some(round) = self.shared.rounds.get(service, tier) else {
             return false;
         };
@@ -188,7 +202,7 @@
         }
         self.shared.directory.groups(service).iter().all(|group| {
             if let Some(own) = self.groups.get(group) {
-                // A node whose lease ran out can't tell what another one serves there by now.
+                // Without a valid lease, this node cannot know what another holder serves there by now.
                 return own.may_grant(context) && own.is_clear(tier);
             }
             let Some(holder) = context.view.holders.get(group) else {
@@ -198,15 +212,15 @@
         })
     }
 
-    /// Asks all other brokers of the service to yield, at most once in half a round's time.
-    fn begin_round(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    /// Asks all other brokers of the service to yield, at most once in half a round interval.
+    fn begin_yield_round(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         let gap = context.view.tuning.round / 2;
         let last = self.shared.rounds.get(service, tier);
         if last.is_some_and(|round| context.now < round.began_at + gap) {
             return;
         }
-        // A broker that takes a group over grants nothing for longer than this, so that an answer
-        // can't be undone by a change of holder.
+        // A broker that takes over a group grants nothing for longer than this, so a change of holder
+        // cannot invalidate an answer.
         let lasts = context.view.tuning.grant_validity;
         if self.last_round == 0 {
             self.last_round = u64::from(context.random.random::<u32>()) << 16;
@@ -225,7 +239,7 @@
             };
             context.send(&node, Message::Yield(wanted));
         }
-        self.make_room_for_others(context, service, tier);
+        self.preempt_for_others(context, service, tier);
     }
 
     fn other_brokers(&self, context: &Context<'_>, service: &ServiceId) -> BTreeSet<NodeId> {
@@ -238,18 +252,23 @@
             .collect()
     }
 
-    /// Each group of the service that is busy with lower work ends one stream of it.
-    fn make_room_for_others(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    /// Cancels at least one less urgent stream in each own group of the service that is busy with them.
+    fn preempt_for_others(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
         for group in self.groups.values_mut() {
             if group.service == *service && group.yield_state(context, tier) == YieldState::Busy {
-                let wanted = group.pressing(context.view, tier).max(1);
-                group.make_room(context, tier, wanted);
+                let wanted = group.preemption_demand(context.view, tier).max(1);
+                group.preempt_for(context, tier, wanted);
             }
         }
     }
 
-    /// Another broker lacks room for a tier.
-    pub(super) fn yield_asked(&mut self, context: &mut Context<'_>, from: &NodeId, wanted: &Yield) {
+    /// Handles another broker's yield request: raises the floor, answers for each own group, and makes room.
+    pub(super) fn yield_requested(
+        &mut self,
+        context: &mut Context<'_>,
+        from: &NodeId,
+        wanted: &Yield,
+    ) {
         let until = context.now + wanted.lasts.min(longest_yield(context));
         self.shared
             .floors
@@ -271,17 +290,17 @@
             groups,
         };
         context.send(from, Message::YieldAnswer(answer));
-        self.make_room_for_others(context, &wanted.service, wanted.tier);
-        self.arm_all(context);
+        self.preempt_for_others(context, &wanted.service, wanted.tier);
+        self.arm_all_timers(context);
     }
 
-    fn arm_all(&mut self, context: &mut Context<'_>) {
+    fn arm_all_timers(&mut self, context: &mut Context<'_>) {
         for group in self.groups.values_mut() {
-            group.arm(context, &self.shared);
+            group.arm_timer(context, &self.shared);
         }
     }
 
-    /// Another broker answered a yield.
+    /// Handles the answer of another broker to the current yield round.
     pub(super) fn yield_answered(&mut self, context: &mut Context<'_>, answer: &YieldAnswer) {
         let Some(round) = self.shared.rounds.get_mut(&answer.service, answer.tier) else {
             return;
@@ -290,17 +309,22 @@
             return;
         }
         for group in &answer.groups {
-            round.answered(group);
+            round.record_answer(group);
         }
-        self.move_to_room(context, &answer.service, answer.tier);
+        self.redirect_to_free_groups(context, &answer.service, answer.tier);
         let ids: Vec<GroupId> = self.groups.keys().cloned().collect();
         for id in ids {
-            self.settle(context, &id);
+            self.group_changed(context, &id);
         }
     }
 
-    /// Sends one late ask to each group that said it has room.
-    fn move_to_room(&mut self, context: &mut Context<'_>, service: &ServiceId, tier: Tier) {
+    /// Redirects one late ask of each own group to a group that reported free slots.
+    fn redirect_to_free_groups(
+        &mut self,
+        context: &mut Context<'_>,
+        service: &ServiceId,
+        tier: Tier,
+    ) {
         let own: Vec<GroupId> = self
             .groups
             .values()
@@ -311,17 +335,17 @@
             let Some(round) = self.shared.rounds.get_mut(service, tier) else {
                 return;
             };
-            let Some(room) = round.take_room() else {
+            let Some(free_group) = round.take_free_group() else {
                 return;
             };
             if let Some(group) = self.groups.get_mut(&id) {
-                group.move_late(context, tier, &room);
+                group.redirect_late(context, tier, &free_group);
             }
         }
     }
 }
 
-/// A yield never lasts longer than this, whatever a message says.
+/// Upper bound on the duration of a yield, whatever the message says.
 fn longest_yield(context: &Context<'_>) -> Duration {
     2 * (context.view.tuning.grant_validity + context.view.tuning.drift_margin)
 }
--- a/crates/dragonflystep_core/src/broker/patience.rs
+++ b/crates/dragonflystep_core/src/broker/patience.rs
@@ -1,9 +1,9 @@
-//! Patience: a waiting ask is passed over for now when a grant would throw prefill away.
+//! Deferral of asks: an ask is passed over for now when granting it would waste prefill.
 //!
-//! Engines compute prompts one after the other, so that prefill is what is scarce under load. Two kinds
-//! of it are thrown away: a prompt whose answer comes too late, and a prefix that another engine of the
-//! group holds already. An ask that is passed over stays in the queue in its place, and its account is
-//! not charged; the asks after it get the room meanwhile.
+//! Engines compute prompts one after the other, so prefill is the scarce resource under load. Two kinds of it are
+//! wasted: the prefill of a prompt whose answer comes too late, and that of a prefix which another engine of the
+//! group has cached already. An ask that is passed over keeps its place in the queue, and its account is not
+//! charged; later asks use the free slot in the meantime.
 
 use {
     super::{choice::Candidate, group::Group, queue::QueuedAsk},
@@ -15,31 +15,31 @@
     std::time::Duration,
 };
 
-/// Asks that one look at the queue passes over at most; bounds the cost of a decision.
-pub(super) const MOST_PASSED_OVER: usize = 16;
-/// How much longer than on the best upstream an ask may take on one that has room now, as a factor.
-const WORTH_WAITING: f64 = 1.2;
-/// Difference below which no wait is worth while.
-const LEAST_GAIN_SECONDS: f64 = 0.05;
-/// Prefill below which no wait is worth while, in seconds; an idle upstream is worth more.
-const LEAST_PREFILL_SAVED: f64 = 0.1;
-/// The tier whose deadlines leave little time to wait for an engine that holds the prefix.
-const MOST_URGENT: Tier = 0;
-/// Share of its time that an ask of the most urgent tier waits for an engine that holds the prefix.
-const URGENT_PATIENCE: f64 = 0.2;
+/// Maximum number of asks that one pass over the queue defers; bounds the cost of a decision.
+pub(super) const MAX_DEFERRED_ASKS: usize = 16;
+/// Minimum ratio of the score on the upstream with capacity to the best score that makes an ask wait.
+const MIN_SCORE_RATIO: f64 = 1.2;
+/// Minimum difference in score, in seconds, that makes waiting worthwhile.
+const MIN_GAIN_SECONDS: f64 = 0.05;
+/// Minimum saved prefill, in seconds, that makes waiting worthwhile; below it, using an idle upstream gains more.
+const MIN_PREFILL_SAVED_SECONDS: f64 = 0.1;
+/// The most urgent tier, whose deadlines leave little time to wait for an engine that has the prefix cached.
+const MOST_URGENT_TIER: Tier = 0;
+/// Share of the time to its deadline that an ask of the most urgent tier may wait for an engine with its prefix.
+const URGENT_WAIT_SHARE: f64 = 0.2;
 
-/// Until when an ask waits for an upstream that is better than the one with room.
-fn waits_until(queued: &QueuedAsk) -> Duration {
-    if queued.ask.tier > MOST_URGENT {
+/// Latest time until which an ask waits for an upstream that is better than the one with capacity.
+fn wait_limit(queued: &QueuedAsk) -> Duration {
+    if queued.ask.tier > MOST_URGENT_TIER {
         return queued.latest_start;
     }
-    let whole = queued.deadline.saturating_sub(queued.received_at);
-    let until = queued.received_at + whole.mul_f64(URGENT_PATIENCE);
+    let total_time = queued.deadline.saturating_sub(queued.received_at);
+    let until = queued.received_at + total_time.mul_f64(URGENT_WAIT_SHARE);
     until.min(queued.latest_start)
 }
 
 impl Group {
-    /// Whether an ask should wait although an upstream has room for it.
+    /// Whether an ask should wait although an upstream has capacity for it.
     pub(super) fn should_wait(
         &self,
         context: &Context<'_>,
@@ -50,13 +50,13 @@
             return false;
         }
         self.would_be_late(context, queued, chosen)
-            || self.holder_is_worth_waiting(context.view, context.now, queued, chosen)
+            || self.should_wait_for_better(context.view, context.now, queued, chosen)
     }
 
-    /// Whether the answer would come too late under the present load, so that its prefill is lost.
+    /// Whether the answer is predicted to miss the deadline under the current load, so that its prefill is wasted.
     fn would_be_late(&self, context: &Context<'_>, queued: &QueuedAsk, chosen: &Candidate) -> bool {
         let model = self.upstreams.get(&chosen.upstream);
-        // An upstream shows its pace only by work, so that a mere guess keeps nothing from it.
+        // An upstream's speed is learned only from its work, so rates that are not yet trusted must not withhold work.
         let is_known = model.is_some_and(|model| model.rates.is_trusted());
         let time_left = queued.deadline.saturating_sub(context.now);
         context.view.tuning.policy.early_refusal
@@ -64,9 +64,9 @@
             && chosen.finish_seconds > time_left.as_secs_f64()
     }
 
-    /// Whether an upstream without room for the moment that has less of the prompt to compute, mostly as it
-    /// holds the prefix, is so much better that the ask waits for it.
-    fn holder_is_worth_waiting(
+    /// Whether another upstream, which may have no capacity now, needs so much less prefill for the prompt that the ask
+    /// should wait for it. Usually it has the prompt's prefix cached.
+    fn should_wait_for_better(
         &self,
         view: &View,
         now: Duration,
@@ -74,20 +74,20 @@
         chosen: &Candidate,
     ) -> bool {
         let policy = &view.tuning.policy;
-        let has_time = now < waits_until(queued);
+        let has_time = now < wait_limit(queued);
         if !policy.prefix_model || !has_time {
             return false;
         }
-        let chooser = self.chooser(policy, now);
+        let selector = self.selector(policy, now);
         let best = self
-            .working(view)
-            .map(|model| chooser.candidate(model, &queued.ask))
+            .accepting_upstreams(view)
+            .map(|model| selector.candidate(model, &queued.ask))
             .filter(|candidate| !candidate.straggler)
             .filter(|candidate| {
-                candidate.prefill_seconds + LEAST_PREFILL_SAVED < chosen.prefill_seconds
+                candidate.prefill_seconds + MIN_PREFILL_SAVED_SECONDS < chosen.prefill_seconds
             })
             .map(|candidate| candidate.score_seconds)
             .fold(f64::INFINITY, f64::min);
-        chosen.score_seconds > best * WORTH_WAITING + LEAST_GAIN_SECONDS
+        chosen.score_seconds > best * MIN_SCORE_RATIO + MIN_GAIN_SECONDS
     }
 }
--- a/crates/dragonflystep_core/src/broker/prediction.rs
+++ b/crates/dragonflystep_core/src/broker/prediction.rs
@@ -1,12 +1,12 @@
-//! Predictions of a group: how long a request takes, and how long it waits.
+//! Predicted service and waiting times of a group's requests.
 
 use {
     super::{
-        choice::{Chooser, room},
+        choice::{Selector, free_capacity},
         group::Group,
         queue::QueuedAsk,
         slots::AskKey,
-        supply::takes_work,
+        supply::accepts_work,
         upstream::UpstreamModel,
     },
     crate::{
@@ -18,24 +18,27 @@
     std::time::Duration,
 };
 
-/// Share of the predicted decoding that a request needs at least; an answer may well be shorter.
-pub(super) const SHORT_ANSWER: f64 = 0.5;
-/// Share of the predicted decoding that a request is thought to need when it is to start.
-pub(super) const USUAL_ANSWER: f64 = 1.0;
+/// Share of the predicted decode time that an answer needs at least, since it may be shorter than predicted.
+pub(super) const MIN_ANSWER_SHARE: f64 = 0.5;
+/// Share of the predicted decode time that is assumed when a request is about to start.
+pub(super) const EXPECTED_ANSWER_SHARE: f64 = 1.0;
 
-/// Asks beyond which a new one is refused for load, to bound the memory of the queue.
-const MOST_WAITING: usize = 20_000;
+/// Queue length beyond which further asks count as late and are refused for load; bounds the queue's memory.
+const MAX_QUEUED_ASKS: usize = 20_000;
 
 impl Group {
-    /// Upstreams that take new work.
-    pub(super) fn working<'a>(&'a self, view: &'a View) -> impl Iterator<Item = &'a UpstreamModel> {
+    /// Models of the group's upstreams that accept new work.
+    pub(super) fn accepting_upstreams<'a>(
+        &'a self,
+        view: &'a View,
+    ) -> impl Iterator<Item = &'a UpstreamModel> {
         self.upstreams
             .values()
-            .filter(|model| takes_work(view, &model.entry))
+            .filter(|model| accepts_work(view, &model.entry))
     }
 
-    pub(super) fn chooser<'a>(&'a self, policy: &'a PolicyParts, now: Duration) -> Chooser<'a> {
-        Chooser {
+    pub(super) fn selector<'a>(&'a self, policy: &'a PolicyParts, now: Duration) -> Selector<'a> {
+        Selector {
             kind: self.kind,
             upstreams: &self.upstreams,
             slots: &self.slots,
@@ -44,26 +47,26 @@
         }
     }
 
-    /// Requests that could be granted now.
+    /// Number of requests that could be granted now.
     pub fn free_slots(&self, view: &View, now: Duration) -> u32 {
-        let chooser = self.chooser(&view.tuning.policy, now);
-        self.working(view)
+        let selector = self.selector(&view.tuning.policy, now);
+        self.accepting_upstreams(view)
             .filter(|model| model.reserved_for.is_none())
             .map(|model| {
                 let usage = self.slots.usage(&model.entry.id);
-                if usage.alone > 0 || chooser.is_prefilling(model) {
+                if usage.exclusive > 0 || selector.is_prefilling(model) {
                     return 0;
                 }
-                let room = room(model, usage, &view.tuning.policy);
-                if room.tokens == Some(0) {
+                let capacity = free_capacity(model, usage, &view.tuning.policy);
+                if capacity.tokens == Some(0) {
                     return 0;
                 }
-                room.requests
+                capacity.requests
             })
             .sum()
     }
 
-    /// Slot time that a request takes on the group's upstreams in the mean, without any cached prefix.
+    /// Mean slot time of a request over the group's upstreams, in seconds, assuming that no prefix is cached.
     pub(super) fn mean_cost_seconds(&self, ask: &Ask) -> f64 {
         let computed = f64::from(ask.prompt_tokens);
         let total: f64 = self
@@ -77,19 +80,19 @@
         total / self.upstreams.len().max(1) as f64
     }
 
-    /// Time that a request takes on the best upstream that takes work.
+    /// Predicted seconds for a request on the fastest upstream that accepts work; 0 if none does.
     pub(super) fn best_service_seconds(&self, view: &View, ask: &Ask) -> f64 {
-        let chooser = self.chooser(&view.tuning.policy, Duration::ZERO);
+        let selector = self.selector(&view.tuning.policy, Duration::ZERO);
         let best = self
-            .working(view)
-            .map(|model| chooser.service_seconds(model, ask, 1.0))
+            .accepting_upstreams(view)
+            .map(|model| selector.service_seconds(model, ask, 1.0))
             .fold(f64::INFINITY, f64::min);
         if best.is_finite() { best } else { 0.0 }
     }
 
-    /// Whether no upstream could answer in `time_left`, even if it started now and ran nothing else.
+    /// Whether no upstream could answer within `time_left`, even if it started now and ran nothing else.
     ///
-    /// `answer_share` is the part of the predicted decoding that the request is given.
+    /// `answer_share` is the share of the predicted decode time that is assumed for the answer.
     pub(super) fn is_unreachable(
         &self,
         view: &View,
@@ -97,24 +100,24 @@
         time_left: Duration,
         answer_share: f64,
     ) -> bool {
-        let chooser = self.chooser(&view.tuning.policy, Duration::ZERO);
+        let selector = self.selector(&view.tuning.policy, Duration::ZERO);
         let mut any = false;
-        let reachable = self.working(view).any(|model| {
+        let reachable = self.accepting_upstreams(view).any(|model| {
             any = true;
-            let seconds = chooser.service_seconds(model, ask, answer_share);
+            let seconds = selector.service_seconds(model, ask, answer_share);
             !model.rates.is_trusted() || seconds <= time_left.as_secs_f64()
         });
         any && !reachable
     }
 
-    /// Requests that the group may run at one time.
+    /// Number of requests that the group's upstreams may run at the same time.
     pub(super) fn running_limit(&self, view: &View) -> u32 {
-        self.working(view)
+        self.accepting_upstreams(view)
             .map(|model| model.running_limit(&view.tuning.policy))
             .sum()
     }
 
-    /// When a waiting ask is thought to start, from now.
+    /// Predicted time from now until a waiting ask starts.
     pub(super) fn predicted_wait(
         &self,
         view: &View,
@@ -122,38 +125,38 @@
         queued: &QueuedAsk,
     ) -> Duration {
         let ahead = self.queue.cost_before(queued);
-        self.takeover_left(now) + self.wait_behind(view, ahead)
+        self.takeover_remaining(now) + self.wait_behind(view, ahead)
     }
 
-    /// When an ask of a new account of this tier would start, from now.
-    pub(super) fn wait_of_tier(&self, view: &View, now: Duration, tier: Tier) -> Duration {
+    /// Predicted time from now until an ask of this tier would start, if its account had no other asks waiting.
+    pub(super) fn predicted_tier_wait(&self, view: &View, now: Duration, tier: Tier) -> Duration {
         let waiting = u32::try_from(self.queue.asks_up_to(tier)).unwrap_or(u32::MAX);
         if self.free_slots(view, now) > waiting {
-            return self.takeover_left(now);
+            return self.takeover_remaining(now);
         }
         let ahead = self.queue.cost_before_new(tier);
-        self.takeover_left(now) + self.wait_behind(view, ahead)
+        self.takeover_remaining(now) + self.wait_behind(view, ahead)
     }
 
-    /// Time to work off `ahead_seconds` of slot time, and to the next slot that comes free.
+    /// Time to process `ahead_seconds` of slot time, plus the mean wait for the next slot to become free.
     fn wait_behind(&self, view: &View, ahead_seconds: f64) -> Duration {
         let slots = f64::from(self.running_limit(view).max(1));
         let mean = self.mean_service_seconds.unwrap_or(0.0);
         Duration::from_secs_f64((mean + ahead_seconds) / slots)
     }
 
-    fn takeover_left(&self, now: Duration) -> Duration {
-        self.takeover.dead_at().saturating_sub(now)
+    fn takeover_remaining(&self, now: Duration) -> Duration {
+        self.takeover.expires_at().saturating_sub(now)
     }
 
-    /// Whether the predicted start of a waiting ask misses its deadline, or too many wait.
+    /// Whether a waiting ask is predicted to start too late for its deadline, or the queue is too long.
     pub(super) fn is_late(&self, context: &Context<'_>, queued: &QueuedAsk) -> bool {
         let wait = self.predicted_wait(context.view, context.now, queued);
-        context.now + wait > queued.latest_start || self.queue.len() > MOST_WAITING
+        context.now + wait > queued.latest_start || self.queue.len() > MAX_QUEUED_ASKS
     }
 
-    /// Marks a waiting ask that is late.
-    pub(super) fn judge_lateness(&mut self, context: &Context<'_>, key: &AskKey) {
+    /// Updates the late mark of a queued ask.
+    pub(super) fn update_lateness(&mut self, context: &Context<'_>, key: &AskKey) {
         if let Some(queued) = self.queue.get(key) {
             let late = self.is_late(context, queued);
             self.queue.set_late(key, late);
--- a/crates/dragonflystep_core/src/broker/prefix_cache.rs
+++ b/crates/dragonflystep_core/src/broker/prefix_cache.rs
@@ -1,21 +1,21 @@
-//! What an upstream is thought to have cached: an own model of least recently used blocks.
+//! Model of an upstream's prefix cache (KV cache blocks), evicted in least-recently-used order.
 //!
-//! All work for the upstream passes here, so the model is filled by what was granted. The engine's own
-//! reports come late and with gaps and only correct it.
+//! All work for the upstream is granted by its broker, so the model is filled from the grants. The engine's own cache
+//! reports arrive late and with gaps; they only correct the model.
 
 use {
     crate::ids::BlockHash,
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Blocks that are remembered for one upstream.
+/// Maximum number of blocks that are remembered per upstream.
 const CAPACITY_BLOCKS: usize = 4096;
-/// What is left of the trust after a gap in the reports; what was granted is known without them.
-const TRUST_AFTER_GAP: f64 = 0.98;
-/// Least trust; some is kept since a missed guess is noticed and corrected.
-const LEAST_TRUST: f64 = 0.1;
+/// Factor applied to the trust after a gap in the reports. It is near 1, since the grants are known without reports.
+const GAP_TRUST_FACTOR: f64 = 0.98;
+/// Minimum trust. It stays above zero, since a wrong prediction is noticed and corrected.
+const MIN_TRUST: f64 = 0.1;
 
-/// Model of one upstream's cache.
+/// Predicted cache content of one upstream.
 #[derive(Debug)]
 pub struct PrefixCache {
     used_at: HashMap<BlockHash, u64>,
@@ -38,8 +38,8 @@
 }
 
 impl PrefixCache {
-    /// Notes that the upstream computes these blocks now; the longest prefix is evicted first.
-    pub fn used(&mut self, blocks: &[BlockHash]) {
+    /// Records that the upstream computes these blocks now. The last blocks of a prefix become the first to be evicted.
+    pub fn record_used(&mut self, blocks: &[BlockHash]) {
         for block in blocks.iter().rev() {
             self.touch(*block);
         }
@@ -51,44 +51,44 @@
         }
     }
 
-    /// Corrects the model by a report of the engine.
-    pub fn reported(&mut self, sequence: u64, stored: &[BlockHash], evicted: &[BlockHash]) {
+    /// Corrects the model by a cache report of the engine; reports that are not newer than the last one are ignored.
+    pub fn apply_report(&mut self, sequence: u64, stored: &[BlockHash], evicted: &[BlockHash]) {
         match self.last_sequence {
             Some(last) if sequence <= last => return,
-            Some(last) if sequence > last + 1 => self.trust *= TRUST_AFTER_GAP,
+            Some(last) if sequence > last + 1 => self.trust *= GAP_TRUST_FACTOR,
             _ => {}
         }
-        self.trust = self.trust.max(LEAST_TRUST);
+        self.trust = self.trust.max(MIN_TRUST);
         self.last_sequence = Some(sequence);
         for block in evicted {
             self.drop_block(*block);
         }
-        self.used(stored);
+        self.record_used(stored);
     }
 
-    /// Compares a guess with what the engine said it had found.
-    pub fn guess_checked(&mut self, guessed_tokens: u32, found_tokens: u32) {
-        if guessed_tokens == 0 {
+    /// Adjusts the trust by comparing the predicted cached tokens with those that the engine found.
+    pub fn check_prediction(&mut self, predicted_tokens: u32, found_tokens: u32) {
+        if predicted_tokens == 0 {
             return;
         }
-        let right = f64::from(found_tokens.min(guessed_tokens)) / f64::from(guessed_tokens);
+        let right = f64::from(found_tokens.min(predicted_tokens)) / f64::from(predicted_tokens);
         self.trust += 0.2 * (right - self.trust);
-        self.trust = self.trust.max(LEAST_TRUST);
+        self.trust = self.trust.max(MIN_TRUST);
     }
 
-    /// Blocks of the prompt that are thought to be cached.
+    /// Number of the prompt's leading blocks that are predicted to be cached.
     pub fn cached_blocks(&self, blocks: &[BlockHash]) -> usize {
-        // A prefix is evicted from its end, so that the cached blocks are the first ones.
+        // Prefixes are evicted from the end, so the cached blocks come first.
         blocks.partition_point(|block| self.used_at.contains_key(block))
     }
 
-    /// Tokens of the prompt that are thought to be cached.
+    /// Number of the prompt's tokens that are predicted to be cached.
     ///
     /// # Examples
     /// ```
     /// use dragonflystep_core::broker::prefix_cache::PrefixCache;
     /// let mut cache = PrefixCache::default();
-    /// cache.used(&[1, 2, 3]);
+    /// cache.record_used(&[1, 2, 3]);
     /// assert_eq!(cache.cached_tokens(&[1, 2, 9, 10], 400), 200);
     /// ```
     pub fn cached_tokens(&self, blocks: &[BlockHash], prompt_tokens: u32) -> u32 {
@@ -99,12 +99,12 @@
         (share * f64::from(prompt_tokens)) as u32
     }
 
-    /// How far the model is to be believed, between 0 and 1.
+    /// Confidence in the model, between 0 and 1, by which predicted cached tokens are scaled.
     pub fn trust(&self) -> f64 {
         self.trust
     }
 
-    /// Forgets everything, for an upstream that was started anew.
+    /// Resets the model, for an upstream that was restarted or moved.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/dragonflystep_core/src/broker/quarantine.rs
+++ b/crates/dragonflystep_core/src/broker/quarantine.rs
@@ -1,4 +1,7 @@
-//! Requests that crash upstreams: suspected by what was on board, proved alone, then refused.
+//! Quarantine of requests that crash upstreams.
+//!
+//! A request that ran on upstreams when they crashed becomes suspect, and then runs alone on an upstream. If that
+//! upstream crashes as well, the request is proved to cause crashes and is refused.
 
 use {
     crate::{
@@ -8,39 +11,40 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a suspicion lasts without a new crash.
-const MEMORY: Duration = Duration::from_secs(600);
-/// Most fingerprints that are remembered.
+/// How long a suspicion or a quarantine lasts without a new crash.
+const SUSPICION_LIFETIME: Duration = Duration::from_secs(600);
+/// Maximum number of fingerprints that are remembered.
 const CAPACITY: usize = 4096;
-/// Reports of the same upstream within this time are of one crash.
-const ONE_CRASH: Duration = Duration::from_secs(3);
-/// Share of a crash from which a request is suspected at the first one.
+/// Reports about the same upstream within this time are attributed to one crash.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(3);
+/// Accumulated share of crashes from which a request is suspected. A crash with n requests on the upstream adds 1/n,
+/// so the first crash suffices with up to four requests.
 const SUSPECT_SHARE: f64 = 0.25;
-/// Crashes with company after which a request is suspected however many were on board.
+/// Number of crashes after which a request is suspected, however many other requests ran on the upstreams.
 const SUSPECT_CRASHES: u32 = 2;
 
-/// What a request may do to an upstream.
+/// How a request is treated, given the crashes that it was involved in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// It is not suspected of crashing upstreams.
     Trusted,
-    /// It may crash upstreams: it runs alone.
+    /// It may crash upstreams, so it must run alone.
     Suspect,
-    /// It crashed an upstream on which it ran alone, after an earlier crash.
+    /// It crashed an upstream on which it ran alone, after an earlier crash; it is refused.
     Quarantined,
 }
 
-/// A crash of an upstream, as a broker knows it.
+/// A crash of an upstream, from the point of view of one request that ran on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The upstream.
+    /// Id of the upstream that crashed.
     pub upstream: UpstreamId,
-    /// Requests that were on board as far as is known.
-    pub on_board: u32,
-    /// When the request was granted the upstream; none when another broker granted it.
+    /// Number of requests that ran on the upstream, as far as is known.
+    pub request_count: u32,
+    /// When the request was granted the upstream; `None` when another broker granted it.
     pub granted_at: Option<Duration>,
-    /// Whether the request was granted the upstream for itself.
-    pub alone: bool,
+    /// Whether the request was granted the upstream exclusively.
+    pub exclusive: bool,
 }
 
 impl Crash {
@@ -48,21 +52,21 @@
     pub fn of_another_group(observed: &CrashObserved) -> Self {
         Self {
             upstream: observed.upstream.clone(),
-            on_board: observed.on_board,
+            request_count: observed.on_board,
             granted_at: None,
-            alone: false,
+            exclusive: false,
         }
     }
 }
 
-/// What a crash added to what is known of a request.
+/// How a crash changed the suspicion of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing: it was reported before.
+    /// The crash had been counted before.
     Repeated,
-    /// It was counted.
+    /// The crash was counted.
     Counted,
-    /// It proved that the request crashes upstreams.
+    /// The crash proved that the request crashes upstreams.
     Proved,
 }
 
@@ -71,8 +75,8 @@
     share: f64,
     crashes: u32,
     proved: bool,
-    /// Whether this node saw the proof.
-    own_proof: bool,
+    /// Whether this node proved it, instead of hearing of it from another broker.
+    is_own_finding: bool,
     last_upstream: UpstreamId,
     last_at: Duration,
 }
@@ -83,30 +87,32 @@
             share: 0.0,
             crashes: 0,
             proved: false,
-            own_proof: false,
+            is_own_finding: false,
             last_upstream: upstream.clone(),
             last_at: now,
         }
     }
 
     fn has_counted(&self, crash: &Crash, now: Duration) -> bool {
-        // What was granted after the last crash was not on board of it.
+        // A request that was granted after the last crash did not run on the upstream when it crashed.
         self.crashes > 0
             && self.last_upstream == crash.upstream
-            && now < self.last_at.saturating_add(ONE_CRASH)
+            && now < self.last_at.saturating_add(SAME_CRASH_WINDOW)
             && crash.granted_at.is_none_or(|at| at <= self.last_at)
     }
 }
 
-/// Suspicions of one node.
+/// Requests that are suspected or quarantined, as far as one node knows.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspicions: BTreeMap<Fingerprint, Suspicion>,
 }
 
 impl Quarantine {
-    /// Notes a crash; only one of an upstream that was granted to a suspect for itself is a proof, since entries
-    /// see only their own requests on board.
+    /// Counts a crash against a request.
+    ///
+    /// Only the crash of an upstream that was granted exclusively to a suspect is a proof: entry nodes see only their
+    /// own requests on an upstream.
     ///
     /// # Examples
     /// ```
@@ -115,26 +121,31 @@
     /// let mut quarantine = Quarantine::default();
     /// let mut crash = Crash {
     ///     upstream: "u1".into(),
-    ///     on_board: 1,
+    ///     request_count: 1,
     ///     granted_at: Some(Duration::ZERO),
-    ///     alone: false,
+    ///     exclusive: false,
     /// };
-    /// let first = quarantine.crashed(7, &crash, Duration::from_secs(1));
+    /// let first = quarantine.record_crash(7, &crash, Duration::from_secs(1));
     /// assert_eq!(first, Finding::Counted);
     /// assert_eq!(quarantine.verdict(7, Duration::from_secs(2)), Verdict::Suspect);
     /// crash.granted_at = Some(Duration::from_secs(2));
-    /// crash.alone = true;
-    /// let second = quarantine.crashed(7, &crash, Duration::from_secs(3));
+    /// crash.exclusive = true;
+    /// let second = quarantine.record_crash(7, &crash, Duration::from_secs(3));
     /// assert_eq!(second, Finding::Proved);
     /// assert_eq!(quarantine.verdict(7, Duration::from_secs(4)), Verdict::Quarantined);
     /// ```
-    pub fn crashed(&mut self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Finding {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Duration,
+    ) -> Finding {
         let suspicion = self.suspicion(fingerprint, &crash.upstream, now);
         if suspicion.has_counted(crash, now) {
             return Finding::Repeated;
         }
-        let proves = crash.alone && suspicion.crashes > 0 && !suspicion.proved;
-        suspicion.share += 1.0 / f64::from(crash.on_board.max(1));
+        let proves = crash.exclusive && suspicion.crashes > 0 && !suspicion.proved;
+        suspicion.share += 1.0 / f64::from(crash.request_count.max(1));
         suspicion.crashes += 1;
         suspicion.last_upstream = crash.upstream.clone();
         suspicion.last_at = now;
@@ -142,12 +153,12 @@
             return Finding::Counted;
         }
         suspicion.proved = true;
-        suspicion.own_proof = true;
+        suspicion.is_own_finding = true;
         Finding::Proved
     }
 
-    /// Takes over another broker's word that a request crashes upstreams.
-    pub fn told(&mut self, fingerprint: Fingerprint, upstream: &UpstreamId, now: Duration) {
+    /// Adopts another broker's finding that a request crashes upstreams.
+    pub fn adopt(&mut self, fingerprint: Fingerprint, upstream: &UpstreamId, now: Duration) {
         let suspicion = self.suspicion(fingerprint, upstream, now);
         if !suspicion.proved {
             suspicion.proved = true;
@@ -155,12 +166,14 @@
         }
     }
 
-    /// Requests of which this node saw the proof, by the upstream that crashed last. Only they are told to nodes
-    /// that join, so that a quarantine ends although nobody tells its age.
-    pub fn own_proofs(&self, now: Duration) -> BTreeMap<UpstreamId, Vec<Fingerprint>> {
+    /// Requests that this node proved to crash upstreams, by the upstream that crashed last.
+    ///
+    /// Only these are sent to nodes that join. The message carries no age, so repeating findings of other nodes
+    /// would extend a quarantine forever.
+    pub fn own_findings(&self, now: Duration) -> BTreeMap<UpstreamId, Vec<Fingerprint>> {
         let mut proofs: BTreeMap<UpstreamId, Vec<Fingerprint>> = BTreeMap::new();
         for (fingerprint, suspicion) in &self.suspicions {
-            if suspicion.own_proof && now < suspicion.last_at + MEMORY {
+            if suspicion.is_own_finding && now < suspicion.last_at + SUSPICION_LIFETIME {
                 let upstream = suspicion.last_upstream.clone();
                 proofs.entry(upstream).or_default().push(*fingerprint);
             }
@@ -168,17 +181,17 @@
         proofs
     }
 
-    /// A request ran to its end, so that it did not cause the crashes that it was in.
-    pub fn finished(&mut self, fingerprint: Fingerprint) {
+    /// Clears a request that completed, since it did not cause the crashes that it was involved in.
+    pub fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspicions.remove(&fingerprint);
     }
 
-    /// What is thought of a request.
+    /// How a request is to be treated now.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         let Some(suspicion) = self.suspicions.get(&fingerprint) else {
             return Verdict::Trusted;
         };
-        if now >= suspicion.last_at + MEMORY {
+        if now >= suspicion.last_at + SUSPICION_LIFETIME {
             return Verdict::Trusted;
         }
         if suspicion.proved {
@@ -190,16 +203,16 @@
         Verdict::Trusted
     }
 
-    /// When a quarantined request may come again.
+    /// Time until a quarantined request is accepted again; `None` if nothing is known of it.
     pub fn retry_after(&self, fingerprint: Fingerprint, now: Duration) -> Option<Duration> {
         let suspicion = self.suspicions.get(&fingerprint)?;
-        Some((suspicion.last_at + MEMORY).saturating_sub(now))
+        Some((suspicion.last_at + SUSPICION_LIFETIME).saturating_sub(now))
     }
 
-    /// Forgets what is old.
-    pub fn forget_old(&mut self, now: Duration) {
+    /// Removes suspicions that have expired.
+    pub fn remove_expired(&mut self, now: Duration) {
         self.suspicions
-            .retain(|_, suspicion| now < suspicion.last_at + MEMORY);
+            .retain(|_, suspicion| now < suspicion.last_at + SUSPICION_LIFETIME);
     }
 
     fn suspicion(
@@ -218,7 +231,7 @@
     }
 
     fn drop_oldest(&mut self) {
-        // A proved one goes only when all are proved.
+        // A proved suspicion is dropped only when all of them are proved.
         let oldest = self
             .suspicions
             .iter()
--- a/crates/dragonflystep_core/src/broker/queue.rs
+++ b/crates/dragonflystep_core/src/broker/queue.rs
@@ -1,4 +1,5 @@
-//! The queue of one group: strict tiers, fair accounts within a tier, earliest deadline within an account.
+//! Queue of one group: strict priority between tiers, fair sharing among the accounts of a tier, and earliest
+//! deadline first within an account.
 
 use {
     super::{fairness::FairOrder, slots::AskKey},
@@ -12,27 +13,27 @@
     },
 };
 
-/// An ask that waits.
+/// An ask that waits for a grant.
 #[derive(Clone, Debug)]
 pub struct QueuedAsk {
-    /// Who asked.
+    /// The entry node, its request and its time stamp, which identify the ask.
     pub key: AskKey,
-    /// The ask.
+    /// The message of the entry node.
     pub ask: Ask,
-    /// When it came.
+    /// When the broker received it.
     pub received_at: Duration,
-    /// When its answer is of no more use.
+    /// Time after which an answer is useless.
     pub deadline: Duration,
-    /// Latest time at which a start can still meet the deadline.
+    /// Latest start that can still meet the deadline.
     pub latest_start: Duration,
-    /// Slot time that it is thought to take.
+    /// Predicted slot time.
     pub cost_seconds: f64,
-    /// Weight of its account.
+    /// Weight of its account in the fair sharing of the tier.
     pub weight: u32,
-    /// Whether its predicted start misses the deadline.
+    /// Whether its predicted start is too late for the deadline, or the queue is too long.
     pub late: bool,
-    /// When its entry should hear of it again.
-    pub news_at: Duration,
+    /// When its entry node is next told how long it will wait.
+    pub next_update_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -54,40 +55,40 @@
 }
 
 impl TierQueue {
-    /// The next ask: of the account that is due, the one with the earliest deadline.
+    /// The next ask: the one with the earliest deadline of the account that is next, skipping those passed over.
     fn next(&self, passed_over: &BTreeSet<AskKey>) -> Option<&AskKey> {
-        let lines = self.order.iter().filter_map(|id| self.accounts.get(id));
-        lines
-            .flat_map(|line| &line.by_deadline)
+        let account_queues = self.order.iter().filter_map(|id| self.accounts.get(id));
+        account_queues
+            .flat_map(|account_queue| &account_queue.by_deadline)
             .map(|(_, key)| key)
             .find(|key| !passed_over.contains(*key))
     }
 
-    /// What all accounts are served until an account got `own_before` and its next ask is due.
-    fn turns(&self, own_before: f64, weights: u64, weight: u64) -> f64 {
+    /// Slot time that the tier serves before an ask starts, if `own_before` of its own account's slot time comes first.
+    fn cost_before_turn(&self, own_before: f64, weights: u64, weight: u64) -> f64 {
         let mean = self.cost_seconds / self.asks.max(1) as f64;
         let share = weights as f64 / weight.max(1) as f64;
         ((own_before + mean) * share - mean).max(0.0)
     }
 }
 
-/// All asks that wait for one group.
+/// All asks that wait for one group, except isolated ones.
 #[derive(Debug, Default)]
 pub struct Queue {
     asks: BTreeMap<AskKey, QueuedAsk>,
     tiers: BTreeMap<Tier, TierQueue>,
     by_deadline: BTreeSet<(Duration, AskKey)>,
-    by_news: BTreeSet<(Duration, AskKey)>,
+    by_next_update: BTreeSet<(Duration, AskKey)>,
     fair: bool,
 }
 
-/// Account under which all asks of a tier stand while fairness is switched off.
+/// Account in whose line an ask waits; without fairness, all asks of a tier share one line.
 fn account_of(ask: &Ask, fair: bool) -> AccountId {
     if fair { ask.account.clone() } else { "".into() }
 }
 
 impl Queue {
-    /// An empty queue; without `fair` all accounts of a tier stand in one line.
+    /// Creates an empty queue; without `fair`, all accounts of a tier share one line.
     pub fn new(fair: bool) -> Self {
         Self {
             fair,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Adds an ask.
+    /// Adds an ask to the line of its account.
     pub fn push(&mut self, queued: QueuedAsk) {
         let account = account_of(&queued.ask, self.fair);
         let tier = self.tiers.entry(queued.ask.tier).or_default();
@@ -103,13 +104,14 @@
             tier.order.join(&account);
             tier.weights += u64::from(queued.weight.max(1));
         }
-        let line = tier.accounts.entry(account).or_insert(AccountQueue {
+        let account_queue = tier.accounts.entry(account).or_insert(AccountQueue {
             weight: queued.weight.max(1),
             ..AccountQueue::default()
         });
-        line.by_deadline
+        account_queue
+            .by_deadline
             .insert((queued.deadline, queued.key.clone()));
-        line.cost_seconds += queued.cost_seconds;
+        account_queue.cost_seconds += queued.cost_seconds;
         tier.cost_seconds += queued.cost_seconds;
         tier.asks += 1;
         tier.by_latest_start
@@ -119,15 +121,17 @@
         }
         self.by_deadline
             .insert((queued.deadline, queued.key.clone()));
-        self.by_news.insert((queued.news_at, queued.key.clone()));
+        self.by_next_update
+            .insert((queued.next_update_at, queued.key.clone()));
         self.asks.insert(queued.key.clone(), queued);
     }
 
-    /// Takes an ask out without serving it.
+    /// Removes an ask without charging its account.
     pub fn remove(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.asks.remove(key)?;
         self.by_deadline.remove(&(queued.deadline, key.clone()));
-        self.by_news.remove(&(queued.news_at, key.clone()));
+        self.by_next_update
+            .remove(&(queued.next_update_at, key.clone()));
         let account = account_of(&queued.ask, self.fair);
         let tier = self.tiers.get_mut(&queued.ask.tier)?;
         tier.by_latest_start
@@ -135,22 +139,24 @@
         tier.late.remove(key);
         tier.asks -= 1;
         tier.cost_seconds -= queued.cost_seconds;
-        let line = tier.accounts.get_mut(&account)?;
-        line.by_deadline.remove(&(queued.deadline, key.clone()));
-        line.cost_seconds -= queued.cost_seconds;
+        let account_queue = tier.accounts.get_mut(&account)?;
+        account_queue
+            .by_deadline
+            .remove(&(queued.deadline, key.clone()));
+        account_queue.cost_seconds -= queued.cost_seconds;
         if tier.asks == 0 {
-            // Rounding of many additions must not outlive the asks.
+            // Drops the rounding error that many additions and subtractions leave behind.
             tier.cost_seconds = 0.0;
         }
-        if line.by_deadline.is_empty() {
-            tier.weights -= u64::from(line.weight);
+        if account_queue.by_deadline.is_empty() {
+            tier.weights -= u64::from(account_queue.weight);
             tier.accounts.remove(&account);
             tier.order.leave(&account);
         }
         Some(queued)
     }
 
-    /// Takes an ask out to serve it, and charges its account.
+    /// Removes an ask that is granted, and charges its account.
     pub fn serve(&mut self, key: &AskKey) -> Option<QueuedAsk> {
         let queued = self.asks.get(key)?;
         let account = account_of(&queued.ask, self.fair);
@@ -160,7 +166,7 @@
         self.remove(key)
     }
 
-    /// The ask that is next among those of `floor` and more urgent tiers, besides those passed over.
+    /// The next ask of the tier `floor` or of a more urgent one, skipping those in `passed_over`.
     pub fn next(&self, floor: Tier, passed_over: &BTreeSet<AskKey>) -> Option<&QueuedAsk> {
         let key = self
             .tiers
@@ -170,12 +176,12 @@
         self.asks.get(key)
     }
 
-    /// An ask.
+    /// Looks up a queued ask.
     pub fn get(&self, key: &AskKey) -> Option<&QueuedAsk> {
         self.asks.get(key)
     }
 
-    /// Marks whether an ask is late.
+    /// Sets or clears the late mark of an ask.
     pub fn set_late(&mut self, key: &AskKey, late: bool) {
         let Some(queued) = self.asks.get_mut(key) else {
             return;
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Marks the asks late whose latest start is before `at`.
+    /// Marks all asks whose latest start is before `at` as late.
     pub fn mark_late_before(&mut self, at: Duration) {
         for tier in self.tiers.values_mut() {
             for (latest_start, key) in &tier.by_latest_start {
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Late asks of a tier.
+    /// Keys of a tier's asks that are marked late.
     pub fn late(&self, tier: Tier) -> Vec<AskKey> {
         self.tiers
             .get(&tier)
@@ -215,7 +221,7 @@
             .unwrap_or_default()
     }
 
-    /// Number of late asks of a tier.
+    /// Number of a tier's asks that are marked late.
     pub fn late_count(&self, tier: Tier) -> usize {
         self.tiers.get(&tier).map_or(0, |each| each.late.len())
     }
@@ -238,8 +244,8 @@
         self.tiers.range(..=tier).map(|(_, each)| each.asks).sum()
     }
 
-    /// Slot time that is served before a waiting ask: all of the more urgent tiers, and of its own tier
-    /// what the other accounts are served while it is its account's turn.
+    /// Predicted slot time that is served before a waiting ask: that of all more urgent tiers, and in its own tier that
+    /// of the asks whose turn comes first under fair sharing.
     pub fn cost_before(&self, queued: &QueuedAsk) -> f64 {
         let tier = queued.ask.tier;
         let above = self.cost_above(tier);
@@ -248,22 +254,25 @@
         };
         let others = (own.cost_seconds - queued.cost_seconds).max(0.0);
         let account = account_of(&queued.ask, self.fair);
-        let Some(line) = own.accounts.get(&account) else {
+        let Some(account_queue) = own.accounts.get(&account) else {
             return above + others;
         };
-        let weight = u64::from(line.weight);
-        let own_before = line.cost_seconds - queued.cost_seconds;
-        above + own.turns(own_before, own.weights, weight).min(others)
+        let weight = u64::from(account_queue.weight);
+        let own_before = account_queue.cost_seconds - queued.cost_seconds;
+        above
+            + own
+                .cost_before_turn(own_before, own.weights, weight)
+                .min(others)
     }
 
-    /// Slot time that is served before the ask of an account that has none waiting.
+    /// Predicted slot time that is served before an ask whose account has no other asks waiting.
     pub fn cost_before_new(&self, tier: Tier) -> f64 {
         let above = self.cost_above(tier);
         let Some(own) = self.tiers.get(&tier) else {
             return above;
         };
-        let turns = own.turns(0.0, own.weights + 1, 1);
-        above + turns.min(own.cost_seconds.max(0.0))
+        let cost_before_turn = own.cost_before_turn(0.0, own.weights + 1, 1);
+        above + cost_before_turn.min(own.cost_seconds.max(0.0))
     }
 
     fn cost_above(&self, tier: Tier) -> f64 {
@@ -271,8 +280,8 @@
         above.map(|(_, each)| each.cost_seconds.max(0.0)).sum()
     }
 
-    /// Asks whose deadline is at or before `now`.
-    pub fn passed(&self, now: Duration) -> Vec<AskKey> {
+    /// Keys of the asks whose deadline is at or before `now`.
+    pub fn expired(&self, now: Duration) -> Vec<AskKey> {
         self.by_deadline
             .iter()
             .take_while(|(deadline, _)| *deadline <= now)
@@ -280,37 +289,38 @@
             .collect()
     }
 
-    /// Notes when the entry of an ask should hear of it again.
-    pub fn set_news_at(&mut self, key: &AskKey, news_at: Duration) {
+    /// Sets when the entry node of an ask is next told how long it will wait.
+    pub fn set_next_update_at(&mut self, key: &AskKey, next_update_at: Duration) {
         if let Some(queued) = self.asks.get_mut(key) {
-            self.by_news.remove(&(queued.news_at, key.clone()));
-            queued.news_at = news_at;
-            self.by_news.insert((news_at, key.clone()));
+            self.by_next_update
+                .remove(&(queued.next_update_at, key.clone()));
+            queued.next_update_at = next_update_at;
+            self.by_next_update.insert((next_update_at, key.clone()));
         }
     }
 
-    /// Asks of which their entries should hear again.
-    pub fn news_due(&self, now: Duration) -> Vec<AskKey> {
-        let due = self.by_news.iter().take_while(|(at, _)| *at <= now);
+    /// Keys of the asks whose entry nodes are due to be told how long they will wait.
+    pub fn updates_due(&self, now: Duration) -> Vec<AskKey> {
+        let due = self.by_next_update.iter().take_while(|(at, _)| *at <= now);
         due.map(|(_, key)| key.clone()).collect()
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline of any queued ask.
     pub fn earliest_deadline(&self) -> Option<Duration> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// All asks, in no particular order of service.
+    /// Iterates over all asks by key, not in the order of service.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedAsk> {
         self.asks.values()
     }
 
-    /// Number of asks.
+    /// Number of queued asks.
     pub fn len(&self) -> usize {
         self.asks.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no ask is queued.
     pub fn is_empty(&self) -> bool {
         self.asks.is_empty()
     }
--- a/crates/dragonflystep_core/src/broker/rates.rs
+++ b/crates/dragonflystep_core/src/broker/rates.rs
@@ -1,26 +1,26 @@
-//! How fast an upstream works: learned from ended streams, started from what its class showed.
+//! Speed of an upstream: learned from ended streams, starting from the rates of its class.
 
 use {
     crate::{catalogue::ServiceKind, message::Finished},
     std::time::Duration,
 };
 
-/// Weight that an old sample keeps when a new one comes.
+/// Factor applied to the weight of older samples when a new one is added.
 const DECAY: f64 = 0.95;
-/// How many samples the class counts for on a new upstream.
+/// Weight of the class rates on a new upstream, in samples.
 const PRIOR_WEIGHT: f64 = 3.0;
-/// Real samples after which an estimate may refuse a request.
-const TRUSTED_SAMPLES: u32 = 5;
-/// Time to the first token of an empty prompt, before anything is known.
-const FIRST_BASE_SECONDS: f64 = 0.02;
-/// Time for one prompt token, before anything is known.
-const FIRST_PER_TOKEN_SECONDS: f64 = 0.000_2;
-/// Time between tokens, before anything is known.
-const FIRST_GAP_SECONDS: f64 = 0.03;
-/// Share of the longest answer that is used, before anything is known.
-const FIRST_OUTPUT_SHARE: f64 = 0.5;
-
-/// A line through decayed samples.
+/// Number of samples after which an estimate may be the reason to refuse a request.
+const MIN_TRUSTED_SAMPLES: u32 = 5;
+/// Initial estimate of the time to the first token of an empty prompt.
+const INITIAL_BASE_SECONDS: f64 = 0.02;
+/// Initial estimate of the prefill time per prompt token.
+const INITIAL_PER_TOKEN_SECONDS: f64 = 0.000_2;
+/// Initial estimate of the time between tokens.
+const INITIAL_GAP_SECONDS: f64 = 0.03;
+/// Initial estimate of the mean answer length, as a share of the longest answer.
+const INITIAL_OUTPUT_SHARE: f64 = 0.5;
+
+/// Weighted linear regression over exponentially decayed samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct LinearFit {
     weight: f64,
@@ -47,7 +47,7 @@
         ((self.weight * self.xy - self.x * self.y) / spread).max(0.0)
     }
 
-    fn at(&self, x: f64) -> f64 {
+    fn predict(&self, x: f64) -> f64 {
         if self.weight <= 0.0 {
             return 0.0;
         }
@@ -56,7 +56,7 @@
         base + slope * x
     }
 
-    fn mix(&mut self, other: &Self, part: f64) {
+    fn blend(&mut self, other: &Self, part: f64) {
         self.x += part * (other.x - self.x);
         self.y += part * (other.y - self.y);
         self.xx += part * (other.xx - self.xx);
@@ -76,23 +76,23 @@
     }
 }
 
-/// Time that a request is thought to take on one upstream.
+/// Predicted time of a request on one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Until the first token.
+    /// Time until the first token.
     pub prefill_seconds: f64,
-    /// From the first token to the end.
+    /// Time from the first token to the end of the answer.
     pub decode_seconds: f64,
 }
 
 impl Estimate {
-    /// Both together.
+    /// Sum of prefill and decode time.
     pub fn total_seconds(&self) -> f64 {
         self.prefill_seconds + self.decode_seconds
     }
 }
 
-/// Rates of one upstream, or of one class of upstreams.
+/// Learned speed of one upstream, or of one class of upstreams.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     first_token: LinearFit,
@@ -105,13 +105,13 @@
 impl Default for Rates {
     fn default() -> Self {
         let mut first_token = LinearFit::default();
-        first_token.add(0.0, FIRST_BASE_SECONDS, 0.5);
-        let thousand = FIRST_BASE_SECONDS + 1000.0 * FIRST_PER_TOKEN_SECONDS;
+        first_token.add(0.0, INITIAL_BASE_SECONDS, 0.5);
+        let thousand = INITIAL_BASE_SECONDS + 1000.0 * INITIAL_PER_TOKEN_SECONDS;
         first_token.add(1000.0, thousand, 0.5);
         Self {
             first_token,
-            gap_seconds: FIRST_GAP_SECONDS,
-            output_share: FIRST_OUTPUT_SHARE,
+            gap_seconds: INITIAL_GAP_SECONDS,
+            output_share: INITIAL_OUTPUT_SHARE,
             samples: 0,
             own_samples: 0,
         }
@@ -119,7 +119,7 @@
 }
 
 impl Rates {
-    /// Rates of a new upstream of a class with these rates.
+    /// Initial rates of a new upstream, taken from those of its class with a reduced weight.
     pub fn from_class(class: &Self) -> Self {
         Self {
             first_token: class.first_token.scaled_to(PRIOR_WEIGHT),
@@ -128,35 +128,36 @@
         }
     }
 
-    /// Whether the upstream has shown its own pace.
-    pub fn is_own(&self) -> bool {
-        self.own_samples >= TRUSTED_SAMPLES
+    /// Whether enough samples of this upstream itself exist, so that it no longer follows its class.
+    pub fn has_own_samples(&self) -> bool {
+        self.own_samples >= MIN_TRUSTED_SAMPLES
     }
 
-    /// Rates of the class, for an upstream that has shown too little of its own.
-    pub fn unproved_like(&self, class: &Self) -> Self {
+    /// Rates of the class, for an upstream with too few samples of its own; keeps the count of its own samples.
+    pub fn following_class(&self, class: &Self) -> Self {
         Self {
             own_samples: self.own_samples,
             ..Self::from_class(class)
         }
     }
 
-    /// Moves a part of the way to the rates of the class, so that an upstream that was slow once and
-    /// got nothing since is tried again.
+    /// Moves the rates by the share `part` towards those of the class, so that an upstream that was slow once and has
+    /// had no work since is tried again.
     pub fn drift_towards(&mut self, class: &Self, part: f64) {
         self.gap_seconds += part * (class.gap_seconds - self.gap_seconds);
         let class_fit = class.first_token.scaled_to(self.first_token.weight);
-        self.first_token.mix(&class_fit, part);
+        self.first_token.blend(&class_fit, part);
     }
 
-    /// Learns from an ended stream; `computed_tokens` of its prompt were not cached.
+    /// Learns from an ended stream. `computed_tokens` of its prompt were not cached, `output_tokens` is the longest
+    /// answer it could have, and `is_completed` is false if it did not complete.
     pub fn learn(
         &mut self,
         kind: ServiceKind,
         finished: &Finished,
         computed_tokens: u32,
         output_tokens: u32,
-        whole: bool,
+        is_completed: bool,
     ) {
         let Some(first_token_after) = finished.first_token_after else {
             return;
@@ -178,15 +179,15 @@
             let weight = 0.3 * f64::from(finished.tokens.min(20)) / 20.0;
             self.gap_seconds += weight * (gap - self.gap_seconds);
         }
-        if whole && output_tokens > 0 {
+        if is_completed && output_tokens > 0 {
             let share = f64::from(finished.tokens) / f64::from(output_tokens);
             self.output_share += 0.1 * (share.min(1.0) - self.output_share);
         }
     }
 
-    /// Time that a request is thought to take.
+    /// Predicts the time of a request, `computed` of whose prompt tokens are not cached.
     pub fn estimate(&self, kind: ServiceKind, computed: f64, output_tokens: u32) -> Estimate {
-        let prefill_seconds = self.first_token.at(computed);
+        let prefill_seconds = self.first_token.predict(computed);
         let decode_seconds = match kind {
             ServiceKind::Plain => 0.0,
             ServiceKind::Engine => f64::from(output_tokens) * self.output_share * self.gap_seconds,
@@ -197,18 +198,18 @@
         }
     }
 
-    /// Mean time between two tokens.
+    /// Mean time between two tokens of a stream.
     pub fn gap(&self) -> Duration {
         Duration::from_secs_f64(self.gap_seconds.max(0.0))
     }
 
-    /// Time for a thousand prompt tokens more.
+    /// Additional prefill time for a thousand more prompt tokens.
     pub fn prefill_per_thousand(&self) -> Duration {
         Duration::from_secs_f64(1000.0 * self.first_token.slope())
     }
 
-    /// Whether there are enough real samples to refuse a request on the ground of an estimate.
+    /// Whether there are enough samples, of the upstream or its class, to refuse a request because of an estimate.
     pub fn is_trusted(&self) -> bool {
-        self.samples >= TRUSTED_SAMPLES
+        self.samples >= MIN_TRUSTED_SAMPLES
     }
 }
