--- a/crates/dragonflystep_core/src/claims/claim.rs
+++ b/crates/dragonflystep_core/src/claims/claim.rs
@@ -1,4 +1,4 @@
-//! One claim and where it stands.
+//! One claim and its stage.
 
 use {
     super::{FIRST_PAUSE, LONGEST_PAUSE, row::ClaimRow},
@@ -10,50 +10,50 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A claim of this node.
+/// A claim of a request that this node received.
 #[derive(Debug)]
 pub(super) struct Claim {
-    /// The request.
+    /// The request that the claim belongs to.
     pub request: RequestId,
-    /// The row as it is written.
+    /// Content of the row that the claim writes.
     pub row: ClaimRow,
-    /// Where it stands.
+    /// How far the claim has come.
     pub stage: Stage,
-    /// Whether the entry still wants it, or runs the request.
+    /// Whether the entry still waits for the claim or runs the request.
     pub wanted: bool,
-    /// Whether the answer to a write of it was lost, so that its row may stand or may yet appear.
+    /// Whether the answer to a write was lost, so that the row may exist or may still appear.
     pub lost_answer: bool,
-    /// Version of a row that this node left behind unrun, and that the claim replaces.
+    /// Version of an abandoned row of this node that the claim replaces; `None` if the row must be absent.
     pub replaces: Option<RowVersion>,
-    /// Calls that failed one after the other.
+    /// Number of consecutive failed calls; determines the backoff.
     pub failures: u32,
 }
 
-/// Where a claim stands.
+/// Stage of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It goes into the next group commit.
+    /// The claim will be part of a later group commit.
     Waiting,
-    /// It is in a group commit that has not been answered.
+    /// The claim is part of a group commit that has not been answered.
     Writing,
-    /// The answer was lost; the row is read back.
+    /// The answer was lost; the row has to be read back.
     Unsettled,
-    /// Its row stands.
+    /// The claim's row is known to exist.
     Written {
-        /// Version of the row.
+        /// Version of the claim's row.
         version: RowVersion,
     },
-    /// The request ended: the outcome is written, or the row is taken back.
+    /// The request ended: its outcome has to be written, or the row removed.
     Ending {
-        /// Version of the row.
+        /// Version of the claim's row.
         version: RowVersion,
-        /// The outcome; none for a request that was never dispatched.
+        /// Outcome of the request; `None` if it was never dispatched.
         outcome: Option<Outcome>,
     },
 }
 
 impl Claim {
-    /// A claim that waits for its commit.
+    /// Creates a claim that waits for its commit.
     pub fn new(view: &View, request: RequestId) -> Self {
         Self {
             request,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Pause before the next try after one more failure.
+    /// Counts a failure and returns the delay before the next attempt.
     pub fn next_pause(&mut self) -> Duration {
         let pause = FIRST_PAUSE * (1 << self.failures.min(10));
         self.failures += 1;
@@ -74,29 +74,29 @@
     }
 }
 
-/// The claims of one call.
+/// The claims that share one call to the table service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Batch {
     keys: Vec<Arc<str>>,
 }
 
 impl Batch {
-    /// Adds a claim.
+    /// Adds the claim of a row key.
     pub fn add(&mut self, key: &Arc<str>) {
         self.keys.push(key.clone());
     }
 
-    /// Whether there is nothing to call for.
+    /// Whether the batch has no claims, so that no call is needed.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Number of claims.
+    /// Number of claims in the batch.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Keys of the rows.
+    /// Row keys of the claims.
     pub fn keys(&self) -> impl Iterator<Item = &Arc<str>> {
         self.keys.iter()
     }
--- a/crates/dragonflystep_core/src/claims/mod.rs
+++ b/crates/dragonflystep_core/src/claims/mod.rs
@@ -1,13 +1,13 @@
-//! Claims: a non-idempotent request is written down before it is dispatched.
+//! Claims: durable records of non-idempotent requests, written before the dispatch.
 //!
-//! All claims that wait are written in one transaction, each under the condition that its row is absent.
-//! A lost answer is settled by reading the rows back: the token tells whose they are. A claim that was
-//! given up is taken back, also when nobody knows yet whether it was written; until that is settled the
-//! same key is refused here as in progress.
+//! All waiting claims are written in one transaction, each on the condition that its row is absent. If the
+//! answer is lost, the rows are read back, and the token in each row tells which request wrote it. The row of
+//! an abandoned claim is removed, even if it is not known yet whether it was written. Until that is settled,
+//! a request with the same key is refused here as in progress.
 //!
 //! An entry dispatches only after [`Signal::ClaimGranted`], which is sent only once the row with this
-//! request's own token is known to stand. A token holds the node's incarnation, so that a restarted node
-//! never takes an older claim for its own.
+//! request's own token is known to exist. A token contains the node's incarnation, so that a restarted node
+//! never mistakes an older claim for its own.
 
 mod claim;
 mod row;
@@ -33,29 +33,29 @@
     },
 };
 
-/// How long a first claim waits for others to share its transaction.
+/// How long a claim waits for others to share its transaction.
 const COMMIT_AFTER: Duration = Duration::from_millis(20);
-/// Pause before a call that failed is made again; doubled up to the longest.
+/// Delay before a failed call is repeated; doubled for each further failure up to [`MAX_BACKOFF`].
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two calls for the same claim.
+/// Longest delay between two calls for the same claim.
 const LONGEST_PAUSE: Duration = Duration::from_secs(2);
 /// Most rows in one transaction.
 const MOST_ROWS: usize = 100;
 
-/// State of this part.
+/// The claims of this node and the calls to the table service that are in progress.
 #[derive(Debug, Default)]
 pub struct Claims {
     claims: BTreeMap<Arc<str>, Claim>,
-    /// Claims with something to do, in the order in which it is due.
+    /// Claims that need a call, ordered by the time at which it is due.
     due: BTreeSet<(Duration, Arc<str>)>,
     batches: BTreeMap<u64, Batch>,
     last_call: u64,
-    /// When the next round is due; none when no timer runs.
+    /// When the next round is due; `None` when no timer runs.
     round_at: Option<Duration>,
 }
 
 impl Claims {
-    /// Makes the calls that are due, each kind in one group.
+    /// Makes the calls that are due: one group call each for claims, rows to read back and outcomes.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         if self.round_at.is_some_and(|at| at <= context.now) {
             self.round_at = None;
@@ -104,7 +104,7 @@
         self.arm(context);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::ClaimWanted { request, key } => self.wanted(context, *request, key),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Number of claims whose rows still have to be written, read or taken back.
+    /// Number of claims that this node still keeps, including those of running requests.
     pub fn unsettled(&self) -> usize {
         self.claims.len()
     }
@@ -160,13 +160,13 @@
                 claim.stage = Stage::Ending { version, outcome };
                 self.put_off(context.now, &row_key, COMMIT_AFTER);
             }
-            // The row is taken back once it is known whether it stands.
+            // The other stages remove the row once it is known whether it exists.
             _ => (),
         }
         self.arm(context);
     }
 
-    /// The next claim that is due, or nearly so that it shares the calls of this round.
+    /// The next claim that is due now or soon enough to share the calls of this round.
     fn next_due(&mut self, now: Duration) -> Option<Arc<str>> {
         let (at, _) = self.due.first()?;
         if *at > now + COMMIT_AFTER {
@@ -184,7 +184,7 @@
         self.due.retain(|(_, due)| due != key);
     }
 
-    /// Starts the timer of the next round, unless one that is early enough runs.
+    /// Starts the timer of the next round, unless a running timer is early enough.
     fn arm(&mut self, context: &mut Context<'_>) {
         let Some((at, _)) = self.due.first() else {
             return;
--- a/crates/dragonflystep_core/src/claims/row.rs
+++ b/crates/dragonflystep_core/src/claims/row.rs
@@ -14,31 +14,31 @@
 /// Content of a claim's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ClaimRow {
-    /// Unique text of the claim, by which a lost answer is settled.
+    /// Unique text of the claim; after a lost answer it tells who wrote the row.
     pub token: Arc<str>,
-    /// The entry.
+    /// Node that received the request.
     pub node: NodeId,
-    /// Its incarnation.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// How far the request is.
+    /// Whether the request has ended.
     pub state: ClaimState,
-    /// How it ended.
+    /// Outcome of an ended request; `None` before that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
 
-/// How far a claimed request is.
+/// Progress of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum ClaimState {
-    /// It may be dispatched, or is running.
+    /// The request may be dispatched, or is running.
     Claimed,
-    /// It ended.
+    /// The request ended.
     Ended,
 }
 
 impl ClaimRow {
-    /// The row of a claim of this node.
+    /// Creates the row of a claim of this node.
     pub fn of(view: &View, request: RequestId, outcome: Option<Outcome>) -> Self {
         let node = &view.node;
         Self {
@@ -53,19 +53,19 @@
         }
     }
 
-    /// Reads a row's value; none when it is not a claim.
+    /// Parses a row's value; `None` when it is not a claim.
     pub fn read(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
-    /// The row's value.
+    /// Serializes the row as JSON.
     pub fn value(&self) -> Arc<str> {
         serde_json::to_string(self)
             .expect("a claim has no map with keys other than text")
             .into()
     }
 
-    /// What the caller of another request with the same key is told.
+    /// The refusal for another request with the same key.
     pub fn refusal(&self, view: &View) -> Refusal {
         match (self.state, self.outcome) {
             (ClaimState::Ended, None | Some(Outcome::Failed)) => already_ran(Ran::Unknown),
@@ -87,7 +87,7 @@
     }
 }
 
-/// What is told when a row can't be read: somebody wrote it, so that the request may have run.
+/// The refusal when a row can't be parsed: since somebody wrote it, the request may have run.
 pub(super) fn unreadable() -> Refusal {
     already_ran(Ran::Unknown)
 }
@@ -96,7 +96,8 @@
     Refusal::with_ran(RefusalCode::AlreadyRan, ran)
 }
 
-/// Key of the row; the caller's own text may hold any sign and stays out of the table's keys.
+/// Row key of a claim. The caller's text may contain any character, so it is hashed instead of stored in the
+/// key.
 pub(super) fn row_key(key: &RequestKey) -> Arc<str> {
     let hash = xxh3_128(key.text.as_bytes());
     format!("claim/{}/{hash:032x}", key.account).into()
--- a/crates/dragonflystep_core/src/claims/settle.rs
+++ b/crates/dragonflystep_core/src/claims/settle.rs
@@ -1,4 +1,4 @@
-//! What the answers of the table service mean for each claim.
+//! Applies the answers of the table service to the claims.
 
 use {
     super::{
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A row with this claim's token stands at this version.
+    /// Handles the proof that a row with this claim's token exists at the given version.
     fn stands(&mut self, context: &mut Context<'_>, key: &Arc<str>, version: RowVersion) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
@@ -94,7 +94,7 @@
         self.put_off(context.now, key, Duration::ZERO);
     }
 
-    /// Another row, or this claim's own, stands.
+    /// Settles the claim by the existing row, which may be its own or that of another request.
     fn settle_by(&mut self, context: &mut Context<'_>, key: &Arc<str>, row: &Row) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
@@ -112,7 +112,8 @@
         self.deny(context, key, refusal);
     }
 
-    /// The commit did not take place, for another claim's sake or that of a row to be replaced.
+    /// Handles a commit that did not take place, because of another claim in it or because a row has to be
+    /// replaced.
     fn not_written(
         &mut self,
         context: &mut Context<'_>,
@@ -131,7 +132,7 @@
         self.put_off(context.now, key, Duration::ZERO);
     }
 
-    /// The commit certainly did not take place: the caller is told at once.
+    /// Handles a commit that certainly did not take place: the caller is refused at once.
     fn store_is_out(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
@@ -149,7 +150,7 @@
         self.try_later(context, key);
     }
 
-    /// Nobody knows whether the commit took place: the row tells.
+    /// Handles a commit of unknown result by reading the row back.
     fn answer_lost(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         if let Some(claim) = self.claims.get_mut(key) {
             claim.lost_answer = true;
@@ -158,11 +159,11 @@
         }
     }
 
-    /// The row was read and is not there.
+    /// Handles the absence of the row in a read.
     ///
-    /// A lost write may still be on its way. A claim that is still wanted is written again with the same
-    /// token, which loses or wins against the late one without harm. The row of one that is no longer
-    /// wanted may yet appear; it is known by its incarnation as left behind and replaced.
+    /// A lost write may still be in flight. If the claim is still wanted, it is written again with the same
+    /// token, so it does no harm whichever of the two writes succeeds. If the claim is no longer wanted, its
+    /// row may still appear; the incarnation then identifies it as abandoned, and a later claim replaces it.
     fn is_absent(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
@@ -198,7 +199,7 @@
             return;
         };
         if row.is_some_and(|row| row.version == version) {
-            // The condition of another row did not hold.
+            // The condition of another row in the transaction did not hold.
             return self.put_off(context.now, key, Duration::ZERO);
         }
         let found = row.and_then(|row| ClaimRow::read(&row.value));
@@ -214,10 +215,10 @@
     }
 }
 
-/// Whether the row is of a request that this process gave up before its dispatch.
+/// Whether the row belongs to a request that this process abandoned before its dispatch.
 ///
-/// This process keeps each claim until its row says that it ended or is gone. So a row that still says
-/// `claimed` and is of no kept claim belongs to a request that was never dispatched.
+/// This process keeps each claim until its row says that the request ended, or is removed. A row that still
+/// says `claimed` without a kept claim therefore belongs to a request that was never dispatched.
 fn left_behind(claim: &Claim, found: &ClaimRow) -> bool {
     let own = &claim.row;
     found.node == own.node
--- a/crates/dragonflystep_core/src/claims/writing.rs
+++ b/crates/dragonflystep_core/src/claims/writing.rs
@@ -1,4 +1,4 @@
-//! The calls to the table service, many claims in each.
+//! The calls to the table service; each handles many claims.
 
 use {
     super::{
@@ -14,7 +14,7 @@
 };
 
 impl Claims {
-    /// Writes claims, each under the condition that its row is absent.
+    /// Writes claims, each on the condition that its row is absent or is the abandoned row that it replaces.
     pub(super) fn commit_claims(&mut self, context: &mut Context<'_>, batch: Batch) {
         if batch.is_empty() {
             return;
@@ -49,7 +49,7 @@
         self.call(context, TableCall::ClaimRead, operation, batch);
     }
 
-    /// Records outcomes, and takes back the rows of requests that were never dispatched.
+    /// Records outcomes, and removes the rows of requests that were never dispatched.
     pub(super) fn commit_outcomes(&mut self, context: &mut Context<'_>, batch: Batch) {
         if batch.is_empty() {
             return;
--- a/crates/dragonflystep_core/src/entry/asking.rs
+++ b/crates/dragonflystep_core/src/entry/asking.rs
@@ -1,4 +1,4 @@
-//! Asking brokers for a slot, one at a time.
+//! Asks brokers for a slot, one broker at a time.
 
 use {
     super::{
@@ -18,31 +18,31 @@
     std::time::Duration,
 };
 
-/// How long a broker may leave an ask without any answer.
+/// How long a broker may leave an ask unanswered.
 const ASK_SILENCE: Duration = Duration::from_secs(1);
-/// How long an answer to a withdrawal is waited for.
+/// How long to wait for the answer to a withdrawal.
 const WITHDRAW_SILENCE: Duration = Duration::from_millis(300);
-/// What is added to a predicted start before the broker counts as silent.
+/// Time that is added to twice the predicted wait before a broker with a queued ask is treated as silent.
 const QUEUE_PATIENCE: Duration = Duration::from_secs(2);
-/// How long the catalogue may be out of date before requests are refused.
+/// How long requests wait for a fresh catalogue before they are refused.
 const ISOLATION_PATIENCE: Duration = Duration::from_secs(2);
-/// Time after which a request that could not ask anybody is looked at again; doubled at random.
+/// Shortest delay before a request that could not ask any broker is retried; up to twice as long at random.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
-/// How often a request that waits in a queue may move to a shorter one.
+/// Most moves of one request to another group or holder.
 const MOST_MOVES: u32 = 3;
-/// How much shorter another queue must be for a move.
+/// How much sooner another group must start a request without a prefix to justify a move.
 const MOVE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Whether the catalogue in force allows a request.
+/// Result of checking a request against the catalogue in force.
 enum Admission {
     Admitted,
-    /// The catalogue may be out of date; look again soon.
+    /// The catalogue may be out of date; check again after a short delay.
     Hold,
     Refused(Refusal),
 }
 
 impl Entry {
-    /// Does what a request that is not dispatched needs next.
+    /// Takes the next step of a request that has not been dispatched: admission, an ask or the dispatch.
     pub(super) fn advance(
         &mut self,
         context: &mut Context<'_>,
@@ -136,7 +136,7 @@
         ask_at(context, request, call, group, broker);
     }
 
-    /// Looks again in a moment, at a random time so that entries don't all come at once.
+    /// Retries after a random delay, so that entries don't all ask at the same time.
     pub(super) fn wait_and_retry(
         &mut self,
         context: &mut Context<'_>,
@@ -148,7 +148,7 @@
         call.wake(context, request, RETRY_AFTER.mul_f64(factor));
     }
 
-    /// Notes that the ask waits in a queue, and moves it when another queue is much shorter.
+    /// Records that an ask is queued, and moves the request when another group has a much shorter wait.
     pub(super) fn queued(&mut self, context: &mut Context<'_>, from: &NodeId, queued: &Queued) {
         let request = queued.ask.request;
         let Some(mut call) = self.calls.remove(&request) else {
@@ -196,7 +196,8 @@
         let Some((other, wait)) = self.placement.best(&around, &call.facts, current) else {
             return;
         };
-        // A prefix would be computed again elsewhere, so that only an answer in time is worth a move.
+        // Another group would compute the prefix again. That is worth it only when the answer would otherwise
+        // be late.
         let margin = if call.facts.prefix_blocks.is_empty() {
             MOVE_MARGIN
         } else {
@@ -210,7 +211,7 @@
         withdraw(context, queued.ask.request, call);
     }
 
-    /// Does what a broker that can't serve the ask says.
+    /// Handles a broker's answer that it can't serve the ask.
     pub(super) fn refused(
         &mut self,
         context: &mut Context<'_>,
@@ -274,7 +275,7 @@
         ask_at(context, request, call, group, holder);
     }
 
-    /// The ask is gone from the broker's queue: asks again.
+    /// Asks again after a broker confirmed that the ask has left its queue.
     pub(super) fn withdrawn(&mut self, context: &mut Context<'_>, name: &AskName) {
         let request = name.request;
         let Some(mut call) = self.calls.remove(&request) else {
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Looks whether the broker of a standing ask has fallen silent.
+    /// Withdraws or abandons the pending ask when its broker has not answered in time.
     pub(super) fn look_for_silence(
         &mut self,
         context: &mut Context<'_>,
@@ -311,7 +312,7 @@
         }
     }
 
-    /// Asks again for all requests whose ask stands where `gone` says, and is lost there.
+    /// Asks again for each request whose pending ask is lost, which `gone` decides.
     pub(super) fn ask_again_where(
         &mut self,
         context: &mut Context<'_>,
@@ -336,7 +337,7 @@
     }
 }
 
-/// Asks one broker; a new stamp tells this ask from all before.
+/// Sends an ask to one broker. A new timestamp distinguishes it from all earlier asks of the request.
 fn ask_at(
     context: &mut Context<'_>,
     request: RequestId,
@@ -376,7 +377,7 @@
     call.wake(context, request, ASK_SILENCE);
 }
 
-/// Takes a standing ask back, to ask again once that is through.
+/// Withdraws the pending ask; the next ask follows once the broker has confirmed or timed out.
 pub(super) fn withdraw(context: &mut Context<'_>, request: RequestId, call: &mut Call) {
     let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
     call.phase = match phase {
--- a/crates/dragonflystep_core/src/entry/call.rs
+++ b/crates/dragonflystep_core/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! One request that this node received.
+//! State of one request that this node received.
 
 use {
     super::phase::{Grant, Phase, Stream},
@@ -11,79 +11,79 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Something that must be had before a dispatch.
+/// State of a key or claim that a request may need before it is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Gate {
     /// The request does not need it.
     NotNeeded,
-    /// It is needed and was not wanted yet.
+    /// It is needed and has not been requested yet.
     Closed,
-    /// It was wanted, and the answer is open.
+    /// It was requested, and no answer has arrived.
     Wanted,
-    /// It is had.
+    /// The request has it.
     Open,
 }
 
 impl Gate {
-    /// Whether it stands in the way of a dispatch.
+    /// Whether a dispatch still has to wait for it.
     pub fn blocks(self) -> bool {
         matches!(self, Self::Closed | Self::Wanted)
     }
 
-    /// Whether the part that looks after it knows of the request.
+    /// Whether it was requested, so that the part that manages it has to be told when the request ends.
     pub fn was_wanted(self) -> bool {
         matches!(self, Self::Wanted | Self::Open)
     }
 }
 
-/// What became of the caller.
+/// What the caller of a request has been told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Caller {
-    /// It waits for its answer.
+    /// The caller waits for its answer.
     Waits,
-    /// It went away; the request runs on.
+    /// The caller disconnected; the request runs on.
     Left,
-    /// It has its final answer; the request runs on.
+    /// The caller has its final answer; the request runs on.
     Told,
 }
 
-/// One request and where it stands.
+/// One open request: its facts, prerequisites and phase.
 #[derive(Debug)]
 pub(super) struct Call {
-    /// What is known of it.
+    /// What the caller sent and what was derived from it.
     pub facts: Arc<RequestFacts>,
     /// When it was received.
     pub received_at: Duration,
-    /// When its answer is of no more use.
+    /// Time after which the answer is of no use to the caller.
     pub deadline_at: Duration,
-    /// Whether the catalogue in force allows it.
+    /// Whether the request passed the check against the catalogue in force.
     pub admitted: bool,
-    /// Its key.
+    /// State of the idempotency key.
     pub key: Gate,
-    /// Its claim.
+    /// State of the durable claim, which only a non-idempotent request with a key needs.
     pub claim: Gate,
-    /// The caller.
+    /// Whether the caller still waits for an answer.
     pub caller: Caller,
-    /// Where it stands.
+    /// How far the request has come.
     pub phase: Phase,
-    /// Stamp of its last ask; none before the first.
+    /// Timestamp that identifies the last ask; `None` before the first one.
     pub last_asked_at: Option<Duration>,
-    /// Group that could not be asked a moment ago.
+    /// Group that the next ask skips, since its broker could not serve the last one.
     pub avoid: Option<GroupId>,
-    /// Group to ask once the withdrawal is through.
+    /// Group to ask next, once the pending ask has been withdrawn.
     pub next_group: Option<GroupId>,
-    /// How often it was moved to another group.
+    /// How often the request was moved to another group or holder; bounded by `MAX_MOVES`.
     pub moves: u32,
-    /// Whether a grant ran out while the key or claim was waited for.
+    /// Whether a grant expired while the key or claim was missing; the next ask then waits for the key.
     pub ask_late: bool,
-    /// Since when the catalogue has not been fresh enough to act on.
+    /// Since when the catalogue has been too old to act on; `None` while it is fresh.
     pub isolated_since: Option<Duration>,
-    /// When it is to be looked at again.
+    /// When the retry timer is due; `None` when no retry is scheduled.
     pub wake_at: Option<Duration>,
 }
 
 impl Call {
-    /// A request received at `now`.
+    /// Creates the state of a request received at `now`.
     pub fn new(now: Duration, facts: Arc<RequestFacts>) -> Self {
         let key = match facts.key {
             Some(_) => Gate::Closed,
@@ -112,19 +112,20 @@
         }
     }
 
-    /// Whether all that a dispatch needs besides a grant is there.
+    /// Whether everything that a dispatch needs besides a grant is available.
     pub fn may_dispatch(&self) -> bool {
         self.admitted && !self.key.blocks() && !self.claim.blocks()
     }
 
-    /// Whether it is time to ask a broker.
+    /// Whether a broker can be asked now.
     ///
-    /// A claim takes a write to the table service; an ask before it would leave the granted slot idle.
+    /// A claim needs a write to the table service. An ask before that write ends would leave the granted slot
+    /// idle.
     pub fn may_ask(&self) -> bool {
         self.admitted && !self.claim.blocks() && !(self.ask_late && self.key.blocks())
     }
 
-    /// Asks to be looked at again.
+    /// Schedules a retry of this request.
     pub fn wake(&mut self, context: &mut Context<'_>, request: RequestId, after: Duration) {
         self.wake_at = Some(context.now + after);
         context.start_timer(after, Timer::RequestRetry(request));
@@ -132,7 +133,7 @@
 }
 
 impl Call {
-    /// The grant that it holds.
+    /// The grant that the request holds in its present phase.
     pub fn grant(&self) -> Option<&Grant> {
         match &self.phase {
             Phase::Waiting | Phase::Asking(_) | Phase::Withdrawing(_) => None,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Its stream, once it was dispatched.
+    /// The stream of a dispatched request.
     pub fn stream(&self) -> Option<&Stream> {
         match &self.phase {
             Phase::Running(stream) | Phase::Resuming(stream) => Some(stream),
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Whether bytes of it may have gone out.
+    /// Whether any bytes of the request may have been sent to an upstream.
     pub fn may_have_been_sent(&self) -> bool {
         matches!(
             self.phase,
@@ -158,7 +159,7 @@
         )
     }
 
-    /// Asks another group next, when its ask stands at this broker.
+    /// Skips the group of the pending ask in the next choice when that ask is at this broker.
     pub fn avoid_broker(&mut self, node: &NodeId) {
         if let Phase::Asking(ask) | Phase::Withdrawing(ask) = &self.phase
             && ask.broker == *node
--- a/crates/dragonflystep_core/src/entry/crashes.rs
+++ b/crates/dragonflystep_core/src/entry/crashes.rs
@@ -1,4 +1,4 @@
-//! Signs that one request crashes the upstreams which run it.
+//! Detects requests that may crash the upstreams that run them.
 
 use {
     super::{Entry, call::Call},
@@ -10,28 +10,28 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Breaks of streams within this time may be of one event.
+/// Streams that break within this time of each other may have been broken by the same crash.
 const CRASH_WINDOW: Duration = Duration::from_secs(2);
 
-/// Streams that broke, for each upstream.
+/// Running and recently broken streams of each upstream.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
     upstreams: BTreeMap<UpstreamId, OnBoard>,
 }
 
-/// What runs at one upstream, and what broke there.
+/// Running and recently broken streams of one upstream.
 #[derive(Debug, Default)]
 struct OnBoard {
-    /// When each stream was dispatched.
+    /// When each running stream was dispatched.
     running: BTreeMap<RequestId, Duration>,
     broken: BTreeMap<RequestId, Broken>,
 }
 
-/// A stream that broke.
+/// A stream that broke and has not been resumed.
 #[derive(Debug)]
 struct Broken {
     boarded_at: Duration,
-    /// When it broke first; tries to take it up may fail until long after that.
+    /// When it first broke. Attempts to resume it may fail until long after that.
     broke_at: Duration,
     last_broke_at: Duration,
     group: GroupId,
@@ -41,20 +41,20 @@
 }
 
 impl Crashes {
-    /// Notes a dispatch.
+    /// Records the dispatch of a request to an upstream.
     pub fn boarded(&mut self, now: Duration, upstream: &UpstreamId, request: RequestId) {
         let on_board = self.upstreams.entry(upstream.clone()).or_default();
         on_board.running.insert(request, now);
     }
 
-    /// Notes the end of a stream.
+    /// Records the end of a stream.
     pub fn left(&mut self, upstream: &UpstreamId, request: RequestId) {
         if let Some(on_board) = self.upstreams.get_mut(upstream) {
             on_board.running.remove(&request);
         }
     }
 
-    /// Notes that a stream broke, for the first time or again.
+    /// Records that a stream broke, for the first time or again.
     pub fn broke(&mut self, now: Duration, upstream: &UpstreamId, request: RequestId, call: &Call) {
         let Some(stream) = call.stream() else {
             return;
@@ -76,14 +76,14 @@
         on_board.broken.insert(request, broken);
     }
 
-    /// Notes that a broken stream was taken up again.
+    /// Records that a broken stream was resumed.
     pub fn recovered(&mut self, upstream: &UpstreamId, request: RequestId) {
         if let Some(on_board) = self.upstreams.get_mut(upstream) {
             on_board.broken.remove(&request);
         }
     }
 
-    /// Forgets breaks that are too old to belong to one event.
+    /// Removes broken streams that are too old to belong to a new crash.
     pub fn forget_old(&mut self, now: Duration) {
         for on_board in self.upstreams.values_mut() {
             on_board.forget_old(now);
@@ -92,7 +92,8 @@
             .retain(|_, on_board| !on_board.running.is_empty() || !on_board.broken.is_empty());
     }
 
-    /// The report of the crash that broke a stream, when all that ran with it broke; one for each event.
+    /// Builds the report of the crash that broke a stream, once for each crash; `None` while a stream that
+    /// ran with it still works.
     fn observed(
         &mut self,
         now: Duration,
@@ -104,8 +105,8 @@
         on_board.forget_old(now);
         let event = on_board.event_of(request)?;
         let group = on_board.broken.get(&request)?.group.clone();
-        // One broken stream may be the network's fault; several at once, or one that is lost for good,
-        // speak against the upstream.
+        // The network may be the cause of a single broken stream. Several at once, or one that can't be
+        // resumed, indicate a fault of the upstream.
         let grave = for_good || event.len() > 1;
         let reported = event
             .iter()
@@ -133,10 +134,11 @@
             .retain(|_, broken| now.saturating_sub(broken.last_broke_at) <= CRASH_WINDOW);
     }
 
-    /// Streams that broke together with one, itself included; none when one that ran with it goes on.
+    /// The streams that broke together with the given one, including itself; `None` if a stream that ran
+    /// alongside is not broken.
     ///
-    /// What was dispatched after the break says nothing about it, since a crashed upstream soon takes new work; what
-    /// broke before the dispatch is of an earlier crash.
+    /// Streams dispatched after the break are ignored, since a crashed upstream may soon accept new requests.
+    /// Streams that broke before this one was dispatched belong to an earlier crash.
     fn event_of(&self, request: RequestId) -> Option<Vec<RequestId>> {
         let broken = self.broken.get(&request)?;
         let goes_on = self.running.iter().any(|(other, boarded_at)| {
@@ -152,7 +154,7 @@
         Some(together.map(|(other, _)| *other).collect())
     }
 
-    /// Requests still in their prefill, or the only one on board.
+    /// Fingerprints of the requests that were still in prefill, or of the only request in the crash.
     fn suspects(&self, event: &[RequestId]) -> Vec<Fingerprint> {
         let alone = event.len() == 1;
         event
@@ -165,7 +167,7 @@
 }
 
 impl Entry {
-    /// Tells the broker of a crash, when the breaks add up to one.
+    /// Reports a crash to the group's broker if the broken streams indicate one.
     pub(super) fn report_crash(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/dragonflystep_core/src/entry/ending.rs
+++ b/crates/dragonflystep_core/src/entry/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a request: one final effect to its caller, and one word to each part that knew it.
+//! Ends a request: one final effect for its caller, and one notice for each part that dealt with it.
 
 use {
     super::{
@@ -19,19 +19,19 @@
 /// How a request ends.
 #[derive(Debug)]
 pub(super) enum Ending {
-    /// Its answer is whole.
+    /// The upstream's answer is complete.
     Answered {
-        /// Prompt tokens that the engine found in its cache.
+        /// Prompt tokens that the engine found in its prefix cache; `None` when it did not say.
         cached_tokens: Option<u32>,
     },
     /// The upstream answered with an error.
     Rejected {
-        /// Whether the upstream says that it did not run.
+        /// Whether the upstream states that it did not run the request.
         not_run: bool,
     },
-    /// It was never dispatched.
+    /// The request was refused before its dispatch.
     Refused(Refusal),
-    /// It was dispatched, or may have been, and has no whole answer.
+    /// The request was dispatched, or may have been, and has no complete answer.
     GivenUp(Refusal, Outcome),
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Entry {
-    /// Ends a request that was taken out of the open ones.
+    /// Ends a request that the caller has removed from the open ones.
     pub(super) fn end(
         &mut self,
         context: &mut Context<'_>,
@@ -79,7 +79,8 @@
         context.effect(Effect::Release { request });
     }
 
-    /// Ends a dispatched request early, which only an idempotent one allows.
+    /// Ends a request that may have been sent before it has run to its end; allowed only for idempotent
+    /// requests.
     pub(super) fn cancel(
         &mut self,
         context: &mut Context<'_>,
@@ -149,7 +150,7 @@
         ending: &Ending,
         idempotent: bool,
     ) {
-        // A non-idempotent request runs to its end at the upstream, whatever becomes of its answer.
+        // A non-idempotent request runs to its end at the upstream, even if nobody receives its answer.
         if idempotent && matches!(ending, Ending::GivenUp(..)) {
             context.effect(Effect::CancelStream { request });
         }
@@ -188,7 +189,7 @@
     context.effect(effect);
 }
 
-/// The refusal, never saying that a request did not run which may have been sent.
+/// The refusal to send. It never states that a request did not run if the request may have been sent.
 fn truthful(call: &Call, refusal: &Refusal) -> Refusal {
     let mut refusal = refusal.clone();
     if call.may_have_been_sent() && refusal.ran == Ran::No {
--- a/crates/dragonflystep_core/src/entry/granting.rs
+++ b/crates/dragonflystep_core/src/entry/granting.rs
@@ -1,4 +1,4 @@
-//! Grants: taken when they are good, used once, or returned.
+//! Handles grants: accepts valid ones, uses each at most once, and returns the others.
 
 use {
     super::{
@@ -17,11 +17,11 @@
     std::time::Duration,
 };
 
-/// Time before a grant's end at which a held one is returned.
+/// Time before its expiry at which an unused grant is returned.
 const RETURN_BEFORE_END: Duration = Duration::from_millis(20);
 
 impl Entry {
-    /// Takes a grant for the present ask, and returns any other.
+    /// Accepts a grant that answers the pending ask, and returns any other grant.
     pub(super) fn granted(&mut self, context: &mut Context<'_>, from: &NodeId, granted: Granted) {
         let request = granted.ask.request;
         let Some(mut call) = self.calls.remove(&request) else {
@@ -31,7 +31,7 @@
             .grant()
             .is_some_and(|grant| grant.name == granted.grant)
         {
-            // The message was doubled; the grant is in use and must not be returned.
+            // The message is a duplicate. The grant is in use and must not be returned.
             self.calls.insert(request, call);
             return;
         }
@@ -86,7 +86,7 @@
         self.advance(context, request, call);
     }
 
-    /// Waits a moment, and looks at the catalogue again before the next ask.
+    /// Retries after a short delay, with a new check of the catalogue's age before the next ask.
     fn hold_off(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
         if !context.view.catalogue_is_fresh(context.now) {
             call.isolated_since.get_or_insert(context.now);
@@ -94,7 +94,7 @@
         self.wait_and_retry(context, request, call);
     }
 
-    /// Returns a held grant that is about to run out; the next ask waits for the key.
+    /// Returns an unused grant that is about to expire; the next ask then waits for the key.
     pub(super) fn return_held(
         &mut self,
         context: &mut Context<'_>,
@@ -106,7 +106,7 @@
         self.advance(context, request, call);
     }
 
-    /// Returns the unused grant of a request; it then waits.
+    /// Returns the unused grant of a request and sets the request to waiting.
     pub(super) fn drop_unsent(
         &mut self,
         context: &mut Context<'_>,
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Dispatches a request that has all it needs, or returns a grant that went bad while it was held.
+    /// Dispatches a request that has all prerequisites, or returns a grant that became invalid while it was
+    /// held.
     pub(super) fn dispatch(
         &mut self,
         context: &mut Context<'_>,
@@ -156,7 +157,7 @@
         self.calls.insert(request, call);
     }
 
-    /// The driver sent nothing: returns the grant and asks again.
+    /// Returns the grant of a request that the driver did not send, and asks again.
     pub(super) fn not_sent(
         &mut self,
         context: &mut Context<'_>,
@@ -186,7 +187,7 @@
         self.calls.insert(request, call);
     }
 
-    /// Cancels a stream to make room, when its present broker asks for it.
+    /// Cancels a request at its broker's demand, to free its slot. Demands of former brokers are ignored.
     pub(super) fn cancel_grant(
         &mut self,
         context: &mut Context<'_>,
@@ -242,7 +243,7 @@
     }
 }
 
-/// Whether the grant's upstream may receive new work.
+/// Whether the grant's upstream is active and still belongs to the grant's group.
 fn takes_work(view: &View, grant: &Grant) -> bool {
     let Some(upstream) = view.catalogue.upstream(&grant.upstream) else {
         return false;
--- a/crates/dragonflystep_core/src/entry/groups.rs
+++ b/crates/dragonflystep_core/src/entry/groups.rs
@@ -1,4 +1,4 @@
-//! What this node knows and holds of each group: the newest epoch, and the grants in use.
+//! Per-group state of this node: the newest epoch, its broker, and the requests that hold grants.
 
 use {
     crate::{
@@ -9,39 +9,39 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Rounds in which a group is still reported after its last grant ended, so that a lost message about
-/// the end is made good.
+/// Rounds in which a group is still reported after its last grant ended. The repeats make up for a lost
+/// message about that end.
 const EMPTY_REPORTS: u8 = 4;
 
-/// One group as this node knows it.
+/// What this node knows of one group.
 #[derive(Debug, Default)]
 pub(super) struct GroupRecord {
-    /// Newest epoch that was seen.
+    /// Newest epoch that this node has seen.
     pub epoch: Epoch,
-    /// Broker of that epoch.
+    /// Broker of that epoch; `None` when it is unknown or was lost.
     pub broker: Option<NodeId>,
-    /// Highest grant number of that epoch that was seen.
+    /// Highest grant number of that epoch that this node has received.
     pub seen_grant: GrantId,
-    /// Highest grant number of that epoch that was reported as seen.
+    /// Highest grant number of that epoch that a report listed as seen.
     pub reported_grant: GrantId,
     /// Requests that hold grants of the group.
     pub requests: BTreeSet<RequestId>,
     empty_reports_left: u8,
 }
 
-/// All groups.
+/// Records of all groups that this node has dealt with.
 #[derive(Debug, Default)]
 pub(super) struct Groups {
     records: BTreeMap<GroupId, GroupRecord>,
 }
 
 impl Groups {
-    /// What is known of a group.
+    /// The record of a group, if there is one.
     pub fn get(&self, group: &str) -> Option<&GroupRecord> {
         self.records.get(group)
     }
 
-    /// Notes an epoch that a broker named; false when it is older than one seen before.
+    /// Records an epoch that a broker named. Returns false when a newer epoch is known.
     pub fn note_epoch(&mut self, group: &GroupId, epoch: Epoch, broker: &NodeId) -> bool {
         let record = self.records.entry(group.clone()).or_default();
         if epoch < record.epoch {
@@ -56,10 +56,10 @@
         true
     }
 
-    /// Notes a grant of the newest epoch; false when it must not be used.
+    /// Records a grant. Returns false when the grant must not be used.
     ///
-    /// A grant that arrives after a report said that its number had been seen was missing from that
-    /// report, and its broker may have given the slot on.
+    /// A grant that arrives after a report already covered its number was missing from that report, so its
+    /// broker may have granted the slot to another request.
     pub fn note_grant(&mut self, grant: &GrantName, broker: &NodeId) -> bool {
         if !self.note_epoch(&grant.group, grant.epoch, broker) {
             return false;
@@ -69,21 +69,21 @@
         grant.grant > record.reported_grant
     }
 
-    /// Notes that a request holds a grant.
+    /// Records that a request holds a grant of the group.
     pub fn hold(&mut self, group: &GroupId, request: RequestId) {
         let record = self.records.entry(group.clone()).or_default();
         record.requests.insert(request);
         record.empty_reports_left = EMPTY_REPORTS;
     }
 
-    /// Notes that a request no longer holds a grant.
+    /// Records that a request no longer holds a grant of the group.
     pub fn let_go(&mut self, group: &str, request: RequestId) {
         if let Some(record) = self.records.get_mut(group) {
             record.requests.remove(&request);
         }
     }
 
-    /// The broker to talk to: that of the newest epoch known here or to the lease part.
+    /// The broker of the newest epoch that is known here or to the lease part.
     pub fn broker(&self, view: &View, group: &str) -> Option<NodeId> {
         let record = self.records.get(group);
         let seen = record.and_then(|record| Some((record.epoch, record.broker.clone()?)));
@@ -99,7 +99,7 @@
         Some(broker)
     }
 
-    /// The broker to talk to, when it is thought to be reachable.
+    /// The broker of the group, unless it is suspected or not a member.
     pub fn reachable_broker(&self, view: &View, group: &str) -> Option<NodeId> {
         let broker = self.broker(view, group)?;
         let here = broker == view.node.id;
@@ -108,7 +108,7 @@
         reachable.then_some(broker)
     }
 
-    /// Forgets a broker that can't be reached, until it is heard of again.
+    /// Drops a lost node as broker of its groups until a message names it again.
     pub fn forget_broker(&mut self, node: &NodeId) {
         for record in self.records.values_mut() {
             if record.broker.as_ref() == Some(node) {
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Groups whose grants are to be reported in this round.
+    /// Groups whose grants have to be reported in this round. Counts down the reports of groups without
+    /// grants.
     pub fn reports_due(&mut self) -> Vec<GroupId> {
         let mut due = Vec::new();
         for (group, record) in &mut self.records {
@@ -132,7 +133,7 @@
         due
     }
 
-    /// Notes that the grants of a group are being reported.
+    /// Records that all grants seen so far are covered by a report.
     pub fn reported(&mut self, group: &str) {
         if let Some(record) = self.records.get_mut(group) {
             record.reported_grant = record.seen_grant;
--- a/crates/dragonflystep_core/src/entry/mod.rs
+++ b/crates/dragonflystep_core/src/entry/mod.rs
@@ -1,10 +1,10 @@
-//! Entry: the life of each request at the node that received it.
+//! Entry: tracks each request at the node that received it, from arrival to its final answer.
 //!
-//! A request waits for its key, its claim and a grant, is dispatched once, and ends with one final
-//! effect. See `phase.rs` for the phases; the other modules each handle one stretch of the way.
+//! A request waits for its key, its claim and a grant, is dispatched at most once, and ends with exactly one
+//! final effect. `phase.rs` defines the phases; each of the other modules handles one part of the life cycle.
 //!
-//! The driver tells what happened to a request in the order in which it happened and once, since both
-//! live in one process; messages of other nodes may come in any order, late, twice or never.
+//! The driver runs in the same process, so it reports each event of a request once and in order. Messages
+//! from other nodes may arrive in any order, late, more than once or never.
 
 mod asking;
 mod call;
@@ -40,7 +40,7 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// State of this part.
+/// The open requests of this node, and what the node knows of groups, predicted waits and crashes.
 #[derive(Debug, Default)]
 pub struct Entry {
     calls: BTreeMap<RequestId, Call>,
@@ -50,12 +50,13 @@
 }
 
 impl Entry {
-    /// Starts the rounds.
+    /// Starts the timer of the periodic round.
     pub fn start(&mut self, context: &mut Context<'_>) {
         context.start_timer(context.view.tuning.round, Timer::EntryRound);
     }
 
-    /// Takes a request in.
+    /// Admits a new request, or refuses it when the node is stopping. A request id that is already open is
+    /// ignored.
     pub fn request_received(
         &mut self,
         context: &mut Context<'_>,
@@ -74,7 +75,7 @@
         self.advance(context, request, call);
     }
 
-    /// Gives up a request whose caller went away, unless it must run to its end.
+    /// Ends a request whose caller disconnected. A non-idempotent request that may have been sent runs on.
     pub fn caller_left(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Ends a request whose deadline passed; the caller is told at once.
+    /// Ends a request whose deadline passed. A non-idempotent request that may have been sent runs on, but
+    /// its caller gets the final answer now.
     pub fn deadline_passed(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(call) = self.calls.remove(&request) else {
             return;
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Looks again at a waiting request.
+    /// Takes the next step of a request whose retry timer is due, depending on its phase.
     pub fn retry_due(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Reports held grants and forgets what is out of date.
+    /// Reports held grants to the brokers and removes expired load summaries and crash records.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         context.start_timer(context.view.tuning.round, Timer::EntryRound);
         self.report_holdings(context);
@@ -146,12 +148,12 @@
         self.crashes.forget_old(context.now);
     }
 
-    /// Handles what happened between this node and an upstream.
+    /// Handles an event of a connection to an upstream.
     pub fn upstream_event(&mut self, context: &mut Context<'_>, event: &UpstreamEvent) {
         self.request_event(context, event);
     }
 
-    /// Handles a message of a broker.
+    /// Handles a message from a broker.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::Queued(queued) => self.queued(context, from, &queued),
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Tells a new broker what runs, and forgets dead grants.
+    /// Re-registers running requests with a new broker and drops grants of older epochs.
     pub fn reregister(
         &mut self,
         context: &mut Context<'_>,
@@ -174,7 +176,7 @@
         self.tell_new_broker(context, from, reregister);
     }
 
-    /// Moves asks away from a lost node.
+    /// Withdraws from a lost node: the asks that were pending there are sent to other brokers.
     pub fn peer_lost(&mut self, context: &mut Context<'_>, node: &NodeId) {
         self.groups.forget_broker(node);
         for call in self.calls.values_mut() {
@@ -183,7 +185,7 @@
         self.ask_again_where(context, |ask| ask.broker == *node);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::KeyGranted { request } => {
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Number of requests that have no final answer yet, or run on.
+    /// Number of requests that have no final answer yet or still run after their caller was answered.
     pub fn open_requests(&self) -> usize {
         self.calls.len()
     }
@@ -235,7 +237,8 @@
         self.advance(context, request, call);
     }
 
-    /// Wants the claim once the key is owned, so that two entries don't deny each other with one half each.
+    /// Requests the claim only once the key is owned. Otherwise two entries could each get one of the two and
+    /// deny each other.
     fn want_claim(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
         if call.key != Gate::Open || call.claim != Gate::Closed {
             return;
--- a/crates/dragonflystep_core/src/entry/phase.rs
+++ b/crates/dragonflystep_core/src/entry/phase.rs
@@ -1,7 +1,7 @@
-//! The phases in the life of a request.
+//! The phases of a request.
 //!
-//! The types allow one way only: an [`UnsentGrant`] departs, a [`DepartingGrant`] turns out to be sent or
-//! not, and from a [`Stream`] there is no way back to a dispatch.
+//! The types only allow one direction: an [`UnsentGrant`] becomes a [`DispatchingGrant`], which turns out to
+//! be sent or not, and a [`Stream`] can never be dispatched again.
 
 use {
     crate::{
@@ -13,57 +13,57 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Where a request stands; an ended one is forgotten.
+/// Phase of an open request. Ended requests are removed.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// No ask stands: the key, the claim, the catalogue or a broker is waited for.
+    /// No ask is pending: the request waits for its key, its claim, the catalogue or a broker.
     Waiting,
-    /// An ask stands at a broker.
+    /// An ask is pending at a broker.
     Asking(StandingAsk),
-    /// An ask is being taken back, to ask elsewhere.
+    /// The ask is being withdrawn so that another group can be asked.
     Withdrawing(StandingAsk),
-    /// A grant is in hand, and the key or the claim is still waited for.
+    /// A grant is held while the key or the claim is still missing.
     Granted(UnsentGrant),
-    /// The driver was told to dispatch and has not said yet whether it did.
+    /// The driver was told to dispatch and has not yet reported whether it did.
     Dispatching(DepartingGrant),
     /// The request was dispatched.
     Running(Stream),
-    /// The request was dispatched, and its broken stream is being taken up again.
+    /// The request was dispatched; its stream broke and is being resumed.
     Resuming(Stream),
 }
 
-/// An ask that stands at one broker.
+/// An ask that was sent to one broker and not answered finally.
 #[derive(Debug)]
 pub(super) struct StandingAsk {
-    /// Its name.
+    /// Identifies the ask in the broker's messages.
     pub name: AskName,
-    /// The broker.
+    /// Broker that the ask was sent to.
     pub broker: NodeId,
-    /// When the broker counts as silent.
+    /// Time after which the broker is treated as silent.
     pub silent_at: Duration,
 }
 
-/// What is known of a grant.
+/// A broker's permission to dispatch one request to one upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Grant {
-    /// Its name.
+    /// Identifies the grant in messages.
     pub name: GrantName,
-    /// The broker that made it.
+    /// Broker that issued it.
     pub broker: NodeId,
     /// Upstream to dispatch to.
     pub upstream: UpstreamId,
-    /// Prompt tokens that the upstream is thought to hold.
+    /// Prompt tokens that the upstream's prefix cache is expected to hold.
     pub cached_tokens: u32,
-    /// Time of the node's clock at which it is dead.
+    /// Time on this node's clock at which the grant expires.
     pub valid_until: Duration,
 }
 
-/// A grant that was not used yet.
+/// A grant that has not been used.
 #[derive(Debug)]
 pub(super) struct UnsentGrant(pub Grant);
 
 impl UnsentGrant {
-    /// Hands the grant to the driver.
+    /// Turns the grant into the effect that tells the driver to dispatch.
     pub fn depart(
         self,
         request: RequestId,
@@ -88,21 +88,21 @@
     }
 }
 
-/// A grant that the driver may be using.
+/// A grant that was handed to the driver, which may or may not have sent the request.
 #[derive(Debug)]
 pub(super) struct DepartingGrant {
-    /// The grant.
+    /// The grant that was handed over.
     pub grant: Grant,
     kind: ServiceKind,
 }
 
 impl DepartingGrant {
-    /// The driver said that nothing was sent.
+    /// Takes the grant back after the driver reported that nothing was sent.
     pub fn not_sent(self) -> UnsentGrant {
         UnsentGrant(self.grant)
     }
 
-    /// The driver said that the first byte goes out.
+    /// Starts the stream after the driver reported that the first byte is being sent.
     pub fn sent(self, now: Duration) -> Stream {
         Stream {
             grant: self.grant,
@@ -120,32 +120,33 @@
 /// A dispatched request.
 #[derive(Debug)]
 pub(super) struct Stream {
-    /// The grant under which it runs.
+    /// Grant under which the request runs.
     pub grant: Grant,
-    /// What answers it.
+    /// Kind of the service that answers; only engine streams can be resumed.
     pub kind: ServiceKind,
     /// When it was dispatched.
     pub dispatched_at: Duration,
-    /// When the first token arrived.
+    /// When the first token arrived; `None` before that.
     pub first_token_at: Option<Duration>,
-    /// When the last token arrived; the dispatch before the first.
+    /// When the last token arrived; the time of the dispatch before the first token.
     pub progress_at: Duration,
-    /// Tokens that arrived.
+    /// Number of tokens that have arrived.
     pub tokens: u32,
-    /// Tries to resume since the last token.
+    /// Attempts to resume since the last new token.
     pub resumes: u32,
-    /// When the next try is due; none while one is under way.
+    /// When the next attempt to resume is due; `None` while none is scheduled.
     pub resume_at: Option<Duration>,
 }
 
 impl Stream {
-    /// Notes the first token.
+    /// Records the arrival of the first token.
     pub fn first_token(&mut self, now: Duration) {
         self.first_token_at.get_or_insert(now);
         self.progress_at = now;
     }
 
-    /// Notes tokens; a late report of fewer is no progress.
+    /// Records the number of tokens received so far. A late report with no more tokens than before is not
+    /// progress.
     pub fn progress(&mut self, now: Duration, tokens: u32) {
         if tokens <= self.tokens {
             return;
--- a/crates/dragonflystep_core/src/entry/placement.rs
+++ b/crates/dragonflystep_core/src/entry/placement.rs
@@ -1,4 +1,4 @@
-//! Which group to ask: the home of the prompt's prefix, or the least predicted wait.
+//! Chooses the group to ask: the home of the prompt's prefix or the group with the least predicted wait.
 
 use {
     super::{groups::Groups, ring::GroupRing},
@@ -17,25 +17,25 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Blocks of the prompt's prefix that choose its home; long enough to tell account prompts apart.
+/// Number of prefix blocks that choose the home; enough to tell the prompts of different accounts apart.
 const LEADING_BLOCKS: usize = 4;
 /// Tokens in one block of the prefix.
 const TOKENS_PER_BLOCK: u32 = 64;
-/// Age at which a summary no longer counts.
+/// Age beyond which a broker's load summary is ignored.
 const SUMMARY_LIFETIME: Duration = Duration::from_secs(3);
-/// Share of its time that a request may wait longer at the home of its prefix than elsewhere: a document
-/// that is computed in several groups costs all requests more than the wait costs this one.
+/// Share of its deadline that a request may wait longer at the home of its prefix than at another group.
+/// Computing one document in several groups costs all requests more than the wait costs this one.
 const HOME_PATIENCE: f64 = 0.5;
-/// Candidates looked at before a decision gives up; bounds its cost.
+/// Most candidates examined for one decision; bounds its cost.
 const LONGEST_LOOK: usize = 8;
-/// Predicted waits are told apart in steps of this, so that near ones tie.
+/// Predicted waits are compared in steps of this size, so that similar waits tie.
 const WAIT_STEP: Duration = Duration::from_millis(5);
 
-/// A place in the order of predicted waits: the wait in steps, other data centres after the own one, and
-/// a tie breaker that differs from node to node, so that nodes don't all choose the same group.
+/// Sort key of a group: the predicted wait in steps, groups in other data centres after local ones, and a tie
+/// breaker that differs between nodes, so that they don't all choose the same group.
 type WaitRank = (u128, bool, u64, GroupId);
 
-/// The groups of the services and what their brokers say of them.
+/// Index of the groups of each service, with the latest loads that their brokers reported.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
     indexed: Option<CatalogueVersion>,
@@ -43,7 +43,7 @@
     loads: BTreeMap<GroupId, Load>,
 }
 
-/// The groups of one service that take work.
+/// The groups of one service that take new requests.
 #[derive(Debug, Default)]
 struct ServiceGroups {
     ring: GroupRing,
@@ -51,14 +51,14 @@
     by_wait: BTreeMap<Tier, BTreeSet<WaitRank>>,
 }
 
-/// Where a group stands, as this node sees it.
+/// Location of a group relative to this node, and its tie breaker.
 #[derive(Clone, Copy, Debug)]
 struct GroupSite {
     elsewhere: bool,
     tie_breaker: u64,
 }
 
-/// What the broker of a group said last.
+/// The last load summary from the broker of a group.
 #[derive(Debug)]
 struct Load {
     service: ServiceId,
@@ -68,23 +68,23 @@
     prefill_per_thousand: Duration,
 }
 
-/// What a decision may look at besides the index.
+/// State outside the index that a decision reads.
 pub(super) struct Surroundings<'a> {
-    /// Shared state.
+    /// Shared state of the node: catalogue, members and lease holders.
     pub view: &'a View,
-    /// Brokers of the groups.
+    /// Epochs and brokers of the groups, as this module's caller knows them.
     pub groups: &'a Groups,
     /// Time of the decision.
     pub now: Duration,
 }
 
 impl Placement {
-    /// Has the index made anew before the next decision.
+    /// Rebuilds the index before the next decision.
     pub fn catalogue_changed(&mut self) {
         self.indexed = None;
     }
 
-    /// Whether an upstream of the service takes new work.
+    /// Whether any upstream of the service takes new requests.
     pub fn is_served(&mut self, view: &View, service: &str) -> bool {
         self.refresh(view);
         self.services
@@ -92,7 +92,7 @@
             .is_some_and(|service| !service.groups.is_empty())
     }
 
-    /// Whether an upstream of the group takes new work.
+    /// Whether any upstream of the group takes new requests.
     pub fn is_active(&mut self, view: &View, service: &str, group: &str) -> bool {
         self.refresh(view);
         self.services
@@ -100,7 +100,7 @@
             .is_some_and(|service| service.groups.contains_key(group))
     }
 
-    /// Notes what a broker says of its group.
+    /// Records a broker's load summary, unless it is of an older epoch than the last one.
     pub fn note_summary(&mut self, view: &View, now: Duration, summary: Summary) {
         self.refresh(view);
         if self
@@ -124,7 +124,7 @@
         self.loads.insert(summary.group, load);
     }
 
-    /// Forgets what a broker said, since it no longer holds.
+    /// Removes the load of a group whose summary is no longer valid.
     pub fn forget(&mut self, group: &GroupId) {
         let Some(load) = self.loads.remove(group) else {
             return;
@@ -134,13 +134,13 @@
         }
     }
 
-    /// The least predicted wait of the service for a tier; none when nothing fresh is known.
+    /// The least predicted wait for the request's service and tier; `None` without a recent summary.
     pub fn least_wait(&self, around: &Surroundings<'_>, facts: &RequestFacts) -> Option<Duration> {
         self.best(around, facts, None).map(|(_, wait)| wait)
     }
 
-    /// The group to ask, other than `avoid` where there is one: the home of the prefix, unless another
-    /// group starts so much sooner that recomputing the prefix costs less.
+    /// Chooses the group to ask, avoiding `avoid` if another one is available: the home of the prefix, unless
+    /// another group starts so much sooner that computing the prefix again costs less.
     pub fn choose(
         &mut self,
         around: &Surroundings<'_>,
@@ -169,8 +169,8 @@
             return Some(best);
         };
         let Some(home_wait) = self.wait(around, &home, facts.tier) else {
-            // Brokers tell their waits only to entries that asked them lately, so that a group that is
-            // never asked would stay unknown.
+            // Brokers send their waits only to entries that asked them recently, so a group that is never
+            // asked would stay unknown.
             let explore = !facts.prefix_blocks.is_empty() || best_wait >= WAIT_STEP;
             return Some(if explore { home } else { best });
         };
@@ -185,7 +185,7 @@
         Some(home)
     }
 
-    /// The first group after the hash of the leading blocks that can be asked.
+    /// The first reachable group on the ring after the hash of the leading blocks.
     fn home(
         &self,
         around: &Surroundings<'_>,
@@ -202,7 +202,7 @@
             .cloned()
     }
 
-    /// The group with the least predicted wait that can be asked.
+    /// The reachable group with the least predicted wait.
     pub fn best(
         &self,
         around: &Surroundings<'_>,
@@ -223,7 +223,7 @@
             .find_map(|group| Some((group.clone(), self.wait(around, group, facts.tier)?)))
     }
 
-    /// What the broker predicts for a tier, when that is not too old.
+    /// The predicted wait for a tier, if the broker's summary is recent enough.
     fn wait(&self, around: &Surroundings<'_>, group: &str, tier: Tier) -> Option<Duration> {
         let load = self.loads.get(group)?;
         if around.now.saturating_sub(load.heard_at) > SUMMARY_LIFETIME {
@@ -232,7 +232,7 @@
         load.predicted_wait.get(usize::from(tier)).copied()
     }
 
-    /// Prefill time that the home's cache would save, at most.
+    /// Upper bound of the prefill time that the home's prefix cache saves.
     fn prefix_saving(&self, home: &str, facts: &RequestFacts) -> Duration {
         let Some(load) = self.loads.get(home) else {
             return Duration::ZERO;
@@ -244,7 +244,7 @@
         load.prefill_per_thousand.saturating_mul(tokens) / 1000
     }
 
-    /// Forgets summaries that are too old, so that dead groups don't fill the top of the order.
+    /// Removes expired summaries, so that dead groups don't occupy the top of the order.
     pub fn forget_old(&mut self, now: Duration) {
         let old: Vec<GroupId> = self
             .loads
@@ -318,7 +318,7 @@
     }
 }
 
-/// The groups of each service that have an upstream which takes work.
+/// The groups of each service that have at least one upstream that takes new requests.
 fn active_groups(view: &View) -> BTreeMap<ServiceId, BTreeMap<GroupId, GroupSite>> {
     let catalogue: &Catalogue = &view.catalogue;
     let mut services: BTreeMap<ServiceId, BTreeMap<GroupId, GroupSite>> = BTreeMap::new();
--- a/crates/dragonflystep_core/src/entry/ring.rs
+++ b/crates/dragonflystep_core/src/entry/ring.rs
@@ -1,6 +1,6 @@
 //! A consistent hash ring over group names.
 //!
-//! Groups stay while nodes come and go, so what is placed by their names moves only when an operator adds
+//! Groups persist while nodes join and leave, so a placement by group name changes only when an operator adds
 //! or removes a group.
 
 use {
@@ -10,10 +10,10 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Points of each group on the ring; more of them even out the shares.
+/// Points of each group on the ring; more points even out the shares of the groups.
 const POINTS_PER_GROUP: u64 = 32;
 
-/// The groups of one service, placed on a ring.
+/// A consistent hash ring over the groups of one service.
 #[derive(Clone, Debug, Default)]
 pub struct GroupRing {
     points: Vec<(u64, GroupId)>,
@@ -21,7 +21,7 @@
 }
 
 impl GroupRing {
-    /// A ring of these groups.
+    /// Builds a ring of the given groups.
     ///
     /// # Examples
     /// ```
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Each group once, in the order in which the ring meets them after `hash`.
+    /// Iterates over each group once, in ring order starting at `hash`.
     pub fn from(&self, hash: u64) -> impl Iterator<Item = &GroupId> {
         let start = self.points.partition_point(|(point, _)| *point < hash);
         let (before, after) = self.points.split_at(start);
@@ -66,7 +66,7 @@
     }
 }
 
-/// The rings of all services of one catalogue, over all their groups, also those that take no work.
+/// The ring of each service in a catalogue, over all its groups, including those that take no requests.
 ///
 /// # Examples
 /// ```
--- a/crates/dragonflystep_core/src/entry/rounds.rs
+++ b/crates/dragonflystep_core/src/entry/rounds.rs
@@ -1,4 +1,4 @@
-//! Reports of held grants, and what a new broker is told.
+//! Reports held grants to brokers, both periodically and to a new broker.
 
 use {
     super::{Entry, call::Call, phase::Phase},
@@ -11,7 +11,7 @@
 };
 
 impl Entry {
-    /// Reports all held grants of each group that has some, one message a group.
+    /// Sends each group's broker one report of all grants that this node holds.
     pub(super) fn report_holdings(&mut self, context: &mut Context<'_>) {
         for group in self.groups.reports_due() {
             if let Some(broker) = self.groups.broker(context.view, &group) {
@@ -40,7 +40,7 @@
         context.send(broker, Message::Holding(holding));
     }
 
-    /// Tells a new broker what runs, drops grants that died with the old one, and asks again.
+    /// Reports running requests to a new broker, drops unused grants of older epochs, and asks again.
     pub(super) fn tell_new_broker(
         &mut self,
         context: &mut Context<'_>,
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Forgets unused grants of older epochs; nothing is returned, since their broker is no more.
+    /// Drops unused grants of older epochs. They are not returned, since their broker has been replaced.
     fn drop_dead_grants(&mut self, group: &GroupId, reregister: &Reregister) -> Vec<RequestId> {
         let Some(record) = self.groups.get(group) else {
             return Vec::new();
--- a/crates/dragonflystep_core/src/entry/streaming.rs
+++ b/crates/dragonflystep_core/src/entry/streaming.rs
@@ -1,4 +1,4 @@
-//! Dispatched requests: their progress, breaks and ends.
+//! Handles dispatched requests: progress, broken streams, resumption and the end of the stream.
 
 use {
     super::{
@@ -19,13 +19,13 @@
     std::time::Duration,
 };
 
-/// Tries to take up a broken stream without any new token between them.
+/// Most attempts to resume a broken stream without a new token in between.
 const MOST_RESUMES: u32 = 6;
-/// Time before the second try; doubled for each further one.
+/// Delay before the second attempt; doubled for each further one.
 const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
 impl Entry {
-    /// Handles what happened to a request that may be on its way.
+    /// Handles an event of a request that may have been dispatched.
     pub(super) fn request_event(&mut self, context: &mut Context<'_>, event: &UpstreamEvent) {
         match *event {
             UpstreamEvent::DispatchExpired { request } => self.not_sent(context, request, false),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Notes something on a request's stream; any sign of it shows that the request was dispatched.
+    /// Updates a request's stream. Any event of the stream proves that the request was dispatched.
     fn with_stream(
         &mut self,
         context: &mut Context<'_>,
@@ -112,7 +112,7 @@
         };
     }
 
-    /// Ends a request whose stream has ended; others are left alone.
+    /// Ends a request that has a stream; a request without one is left unchanged.
     fn end_stream(&mut self, context: &mut Context<'_>, request: RequestId, ending: &Ending) {
         let Some(call) = self.calls.remove(&request) else {
             return;
@@ -163,7 +163,7 @@
         self.give_stream_up(context, request, RefusalCode::UpstreamFailed);
     }
 
-    /// Tries to take the stream up at the same upstream: at once, then after growing pauses.
+    /// Resumes the stream at the same upstream: at once, and then after exponentially growing delays.
     fn resume(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
@@ -186,7 +186,7 @@
         self.calls.insert(request, call);
     }
 
-    /// Makes the try to resume that was put off.
+    /// Makes a delayed attempt to resume whose time has come.
     pub(super) fn resume_due(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
@@ -214,7 +214,7 @@
     }
 }
 
-/// What can be said of a request that may have been dispatched: tokens prove that it ran.
+/// Whether a request that may have been dispatched ran: received tokens prove that it did.
 pub(super) fn ran_so_far(call: &Call) -> Ran {
     match call.stream() {
         Some(stream) if stream.tokens > 0 => Ran::Yes,
--- a/crates/dragonflystep_core/src/keys/home.rs
+++ b/crates/dragonflystep_core/src/keys/home.rs
@@ -1,4 +1,4 @@
-//! What a node keeps as the home of keys.
+//! The key records that a node keeps for the homes it holds.
 
 use {
     crate::{
@@ -13,15 +13,17 @@
     },
 };
 
-/// How long a new home waits for what nodes know that are thought to be unreachable; for the others it
-/// waits until they told it.
+/// How long a new home waits for the records of nodes that are suspected to be unreachable. It waits for all
+/// other nodes until they have sent theirs.
 const UNREACHABLE_PATIENCE: Duration = Duration::from_secs(3);
-/// Most keys that one node keeps as a home; a new key beyond it is put off, none is forgotten for it.
+/// Most key records that one node keeps as a home. Beyond that it does not take in new keys; it never evicts
+/// a record to make space.
 const MOST_RECORDS: usize = 50_000;
-/// A key whose end was never told is forgotten after this many times the memory of an ended one.
+/// A key whose end was never reported is removed after this multiple of the time for which an ended key is
+/// kept.
 const RUNNING_MEMORY_FACTOR: u32 = 6;
 
-/// All homes that this node holds, or held until a new holder asks for what they knew.
+/// The homes that this node holds, and former ones whose new holder has not asked for their records yet.
 #[derive(Debug, Default)]
 pub(super) struct HomeKeys {
     homes: BTreeMap<GroupId, Home>,
@@ -30,7 +32,7 @@
     record_count: usize,
 }
 
-/// One home.
+/// The key records of one home, and the nodes that still have to send theirs.
 #[derive(Debug)]
 struct Home {
     epoch: Epoch,
@@ -39,7 +41,7 @@
     records: BTreeMap<RequestKey, Record>,
 }
 
-/// What is known of one key.
+/// What a home knows of one key.
 #[derive(Clone, Debug)]
 struct Record {
     entry: NodeId,
@@ -47,12 +49,14 @@
     incarnation: Option<Incarnation>,
     at: Duration,
     outcome: Option<Outcome>,
-    /// Not vouched for by its entry, nor taken in by a home that knew what the other nodes know.
+    /// Whether the record was neither confirmed by the entry that owns the key nor taken in by a home that
+    /// was ready.
     tentative: bool,
 }
 
 impl Home {
-    /// Whether every node told what it knows, but for those that are gone or have long been unreachable.
+    /// Whether every node has sent its records, except nodes that are gone or were suspected when the timeout
+    /// passed.
     fn is_ready(&self, view: &View, now: Duration) -> bool {
         let patient = now.saturating_sub(self.since) < UNREACHABLE_PATIENCE;
         self.unheard
@@ -63,7 +67,7 @@
 }
 
 impl HomeKeys {
-    /// Begins a term as the holder of a home; what an earlier term left is kept.
+    /// Starts a term as the holder of a home. Records of an earlier term are kept.
     pub fn begin(&mut self, view: &View, now: Duration, group: &GroupId, epoch: Epoch) {
         let unheard = view.members.keys().cloned().collect();
         let records = self.homes.remove(group).map(|home| home.records);
@@ -76,7 +80,7 @@
         self.homes.insert(group.clone(), home);
     }
 
-    /// Answers an entry that wants to own a key; the first that comes owns it.
+    /// Answers an entry that wants to own a key. The first entry to register owns it.
     pub fn register(
         &mut self,
         context: &Context<'_>,
@@ -96,14 +100,14 @@
         }
     }
 
-    /// The epoch of the home, while the node's lease for it lasts.
+    /// The epoch of the home, while this node's lease for it is valid.
     fn granting_epoch(&self, context: &Context<'_>, group: &GroupId) -> Option<Epoch> {
         let epoch = context.view.granting_epoch(group, context.now)?;
         let home = self.homes.get(group)?;
         (home.epoch == epoch).then_some(epoch)
     }
 
-    /// What is known of the key; none when this home can't take it in.
+    /// State of the key after this registration; `None` when the home has no space for a new key.
     fn state_for(
         &mut self,
         context: &Context<'_>,
@@ -139,7 +143,7 @@
         })
     }
 
-    /// Notes the end of a request, or frees the key of one that was never dispatched.
+    /// Records the end of a request, or frees the key of a request that was never dispatched.
     pub fn ended(&mut self, now: Duration, from: &NodeId, ended: KeyEnded) {
         let Some(home) = self.homes.get_mut(&ended.home) else {
             return;
@@ -170,11 +174,12 @@
         }
     }
 
-    /// Takes in what a node knows of a home's keys.
+    /// Merges the records that another node sent for the keys of a home.
     ///
-    /// An entry vouches for the keys that its own requests were granted, and an end is an end. What a home
-    /// tells of others may be the claim of a request that was never granted the key; it only fills gaps,
-    /// since a registration here may have been the second half of a grant.
+    /// An entry is authoritative for the keys that its own requests were granted, and the end of a request is
+    /// final. What a home reports of other entries may be the registration of a request that was never
+    /// granted the key. Such a record only fills gaps, since a registration here may have been the second
+    /// half of a grant.
     pub fn refill(
         &mut self,
         now: Duration,
@@ -220,7 +225,7 @@
         self.insert(group, known.key, record);
     }
 
-    /// Nodes that have not told yet what they know, for each home with its epoch.
+    /// Nodes that have not sent their records yet, for each held home with its epoch.
     pub fn unheard(&self, context: &Context<'_>) -> Vec<(GroupId, Epoch, Vec<NodeId>)> {
         let mut unheard = Vec::new();
         for (group, home) in &self.homes {
@@ -233,10 +238,11 @@
         unheard
     }
 
-    /// What the homes on this node know of the keys of `wanted`; `share` says whether a key that is kept
-    /// at a home also lives at `wanted`.
+    /// The records of this node's homes for the keys of `wanted`; `share` says whether a key that is kept at
+    /// a home also belongs to `wanted`.
     ///
-    /// Registrations of this node's own requests are left out: the node would seem to vouch for them.
+    /// Registrations of this node's own requests are left out, since the receiver would take this node as
+    /// authoritative for them.
     pub fn known(
         &self,
         here: &NodeId,
@@ -260,7 +266,7 @@
         known
     }
 
-    /// Forgets a home whose new holder was told what it knew.
+    /// Drops the records of a home after they were sent to its new holder.
     pub fn hand_over(&mut self, group: &GroupId, new_epoch: Epoch) {
         if self
             .homes
@@ -272,7 +278,7 @@
         }
     }
 
-    /// Notes that an entry is gone: what it ran has ended, and nobody can tell how.
+    /// Marks all running requests of a lost entry as ended with an unknown result.
     pub fn entry_gone(&mut self, now: Duration, node: &NodeId, incarnation: Incarnation) {
         for (group, home) in &mut self.homes {
             home.unheard.remove(node);
@@ -288,7 +294,7 @@
         }
     }
 
-    /// Forgets keys that ended long ago.
+    /// Removes keys that ended long ago, or whose end was never reported.
     pub fn forget_old(&mut self, now: Duration, memory: Duration) {
         let ended = pop_older(&mut self.ended, now, memory);
         let lost = pop_older(&mut self.registered, now, memory * RUNNING_MEMORY_FACTOR);
@@ -318,7 +324,7 @@
     }
 }
 
-/// A home that does not know yet what the other nodes know takes the key in, but can't vouch for it.
+/// A home that is not ready records the key but can't confirm the ownership.
 fn owned(ready: bool) -> KeyState {
     match ready {
         true => KeyState::Owned,
--- a/crates/dragonflystep_core/src/keys/homes.rs
+++ b/crates/dragonflystep_core/src/keys/homes.rs
@@ -1,4 +1,4 @@
-//! Where keys live: two groups of the service, chosen by the key.
+//! Chooses the homes of a key: two groups of the service, by the hash of the key.
 
 use {
     crate::{
@@ -11,10 +11,10 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// Homes of each key; two, so that the loss of one broker forgets nothing.
+/// Number of homes of each key; with two, the loss of one broker loses no key.
 pub(super) const HOMES_OF_KEY: usize = 2;
 
-/// The rings by which homes are chosen, made anew for each catalogue version.
+/// The rings that choose the homes, rebuilt for each catalogue version.
 #[derive(Debug, Default)]
 pub(super) struct HomeIndex {
     indexed: Option<CatalogueVersion>,
@@ -23,7 +23,7 @@
 }
 
 impl HomeIndex {
-    /// The homes of a key of a service, first one first; fewer where the service has fewer groups.
+    /// The homes of a key in ring order; fewer than two if the service has fewer groups.
     pub fn homes(
         &mut self,
         catalogue: &Catalogue,
--- a/crates/dragonflystep_core/src/keys/mod.rs
+++ b/crates/dragonflystep_core/src/keys/mod.rs
@@ -1,33 +1,34 @@
-//! Keys: a request that comes again under the same key is not dispatched again.
+//! Keys: a request that is repeated under the same key is not dispatched again.
 //!
-//! Each key has two homes, groups of its service; the nodes that hold them remember who has the key.
-//! The entry registers the key with both in parallel, and each home gives it to the first that comes.
+//! Each key has two homes, which are groups of its service; the nodes that hold these groups record which
+//! request owns the key. The entry registers the key with both homes in parallel, and each home gives it to
+//! the first request that registers.
 //!
 //! | answers of the two homes | verdict |
 //! | --- | --- |
 //! | both owned | granted |
-//! | owned, and a home that has just changed hands | granted |
+//! | owned, and a home that is not ready after a change of its holder | granted |
 //! | one says that a request with the key ended | denied, already ran |
 //! | owned, running elsewhere | the entry that is first by name waits for the other to give up |
 //! | running elsewhere | denied, in progress |
 //! | no home owned | wait, up to the deadline |
 //!
-//! A home that merely can't be reached counts as not answered: a request with a key then waits, and is
-//! refused as not run at its deadline. A home that has just changed hands takes keys in from the first
-//! moment, so that it knows them once the other home is lost too, but vouches for none before every
-//! node told it what it knows; nodes that are gone, or were unreachable for a few seconds, are not waited for.
+//! An unreachable home counts as one that has not answered: a request with a key then waits, and is refused
+//! as not run at its deadline. A home with a new holder records keys at once, so that it knows them if the
+//! other home is lost too. It confirms none until every node has sent its records; nodes that are gone, or
+//! have been unreachable for a few seconds, are not waited for.
 //!
-//! # What could double a dispatch
+//! # What can cause a second dispatch
 //!
-//! Within the memory of the key, a repeat through another entry is dispatched again only when
-//! - both homes are lost at the same time, and the first entry is dead or
-//!   is cut off from both new homes for longer than they wait for an unreachable node; or
-//! - the first entry dies, and then both homes are lost one after the other, where the second goes before
-//!   the first one's successor was told what the second knew; or
-//! - two changes of the service's groups are in force at one entry and not at the other, so that their
-//!   sets of homes have none in common. One change leaves at least one home in common.
+//! While a key is remembered, a repeat through another entry is dispatched again only when
+//! - both homes are lost at the same time, and the first entry is dead or is cut off from both new homes for
+//!   longer than they wait for an unreachable node; or
+//! - the first entry dies, and then both homes are lost one after the other, the second one before the
+//!   successor of the first has received the records of the second; or
+//! - two changes of the service's groups are in force at one entry and not at the other, so that their sets
+//!   of homes are disjoint. After one change they still have at least one home in common.
 //!
-//! Non-idempotent requests have a durable claim besides, which none of these losses touches.
+//! Non-idempotent requests also have a durable claim, which none of these losses affects.
 
 mod home;
 mod homes;
@@ -48,10 +49,11 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// When the end of a request is told to its homes again; a lost message would block the key.
+/// Delays after which the end of a request is sent to its homes again, since a lost message would block the
+/// key.
 const TELL_AGAIN_AFTER: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
 
-/// State of this part.
+/// The keys of this node's own requests, and the records of the homes that it holds.
 #[derive(Debug, Default)]
 pub struct Keys {
     index: HomeIndex,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Tells a new home the keys that this node knows, and registers waiting ones there.
+    /// Sends a home's new holder the keys that this node knows, and registers waiting requests there again.
     pub fn home_changed(
         &mut self,
         context: &mut Context<'_>,
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Asks silent homes again, tells ends again and forgets old keys.
+    /// Registers again with homes that have not confirmed, repeats announcements and ends, and removes old
+    /// keys.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         for key in self.own.registering() {
             self.register_again(context, &key);
@@ -114,7 +117,7 @@
         self.home.forget_old(context.now, memory);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::KeyWanted {
@@ -208,8 +211,8 @@
         }
     }
 
-    /// Announces a home again to nodes that have not told what they know; the first time it was announced
-    /// by its broker.
+    /// Announces a home again to nodes that have not sent their records. The home's broker made the first
+    /// announcement.
     fn ask_unheard(&self, context: &mut Context<'_>) {
         for (group, epoch, nodes) in self.home.unheard(context) {
             let reregister = Reregister { group, epoch };
@@ -242,7 +245,8 @@
         }
     }
 
-    /// All that this node knows of the keys of a home: its own requests', and those of the homes it holds.
+    /// Everything that this node knows of the keys of a home: those of its own requests and of the homes that
+    /// it holds.
     fn known(&mut self, context: &Context<'_>, group: &GroupId) -> Vec<KnownKey> {
         let catalogue = &context.view.catalogue;
         let index = &mut self.index;
@@ -255,7 +259,7 @@
     }
 }
 
-/// Registers a key with the present holder of a home; without one the next round tries again.
+/// Registers a key with the current holder of a home. If none is known, the next round tries again.
 fn register(context: &mut Context<'_>, home: &GroupId, key: &RequestKey, request: RequestId) {
     let holder = context.view.holders.get(home).map(|holder| &holder.node);
     if let Some(node) = holder.cloned() {
--- a/crates/dragonflystep_core/src/keys/own.rs
+++ b/crates/dragonflystep_core/src/keys/own.rs
@@ -13,12 +13,12 @@
     },
 };
 
-/// Rounds in which an entry that comes first by name waits for the other one to give up.
+/// Rounds for which an entry waits for a competing entry or an open answer before it denies the request.
 const SPLIT_ROUNDS: u32 = 4;
-/// Most keys that one node remembers of its own requests; beyond it new ones are refused.
+/// Most keys that one node remembers of its own requests; beyond that, new requests with keys are refused.
 const MOST_KEYS: usize = 50_000;
 
-/// The keys of this node's requests, and what their homes said.
+/// The keys of this node's requests, with the answers of their homes.
 #[derive(Debug, Default)]
 pub(super) struct OwnKeys {
     keys: BTreeMap<RequestKey, OwnKey>,
@@ -26,18 +26,18 @@
     ended: VecDeque<(Duration, RequestKey)>,
 }
 
-/// One key.
+/// A key of one of this node's requests.
 #[derive(Debug)]
 pub(super) struct OwnKey {
-    /// The request that has it.
+    /// The request that uses the key.
     pub request: RequestId,
-    /// Its homes with what each said last.
+    /// Its homes, with the last answer of each.
     pub homes: Vec<(GroupId, HomeAnswer)>,
     stage: Stage,
     rounds: u32,
 }
 
-/// How far a key is.
+/// Stage of a key's registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Registering,
@@ -45,22 +45,22 @@
     Ended { outcome: Outcome, at: Duration },
 }
 
-/// What a home said.
+/// The last answer of a home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum HomeAnswer {
-    /// Nothing yet.
+    /// The home has not answered yet.
     Open,
-    /// The key is this request's.
+    /// The key belongs to this request.
     Owned,
-    /// Another request has it.
+    /// A request at the named entry has the key.
     Running(NodeId),
-    /// The home has changed hands and took the key in, but can't vouch for it yet.
+    /// The home recorded the key but can't confirm the ownership yet, or could not take it in.
     Changing,
     /// A request with the key ended.
     Ended(Outcome),
 }
 
-/// What the answers add up to.
+/// Result of combining the answers of the homes.
 #[derive(Debug)]
 pub(super) enum Verdict {
     Wait,
@@ -69,10 +69,11 @@
 }
 
 impl OwnKeys {
-    /// Takes a key for a request.
+    /// Reserves a key for a request.
     ///
     /// # Errors
-    /// The refusal, when another request of this node has or had the key.
+    /// Returns a refusal when another request of this node has or had the key, or when too many keys are
+    /// kept.
     pub fn take(
         &mut self,
         key: &RequestKey,
@@ -99,12 +100,12 @@
         Ok(())
     }
 
-    /// The key, while the request has it.
+    /// The key, if this request has it.
     pub fn get(&self, key: &RequestKey, request: RequestId) -> Option<&OwnKey> {
         self.keys.get(key).filter(|own| own.request == request)
     }
 
-    /// Notes what a home said, and says what the answers add up to.
+    /// Records a home's answer and returns the combined verdict.
     pub fn answered(
         &mut self,
         here: &NodeId,
@@ -131,7 +132,7 @@
         self.settle(here, key)
     }
 
-    /// Counts a round without a verdict.
+    /// Counts a round without a verdict and evaluates the answers again.
     pub fn round(&mut self, here: &NodeId, key: &RequestKey) -> Verdict {
         if let Some(own) = self.keys.get_mut(key) {
             own.rounds += 1;
@@ -151,12 +152,12 @@
         verdict
     }
 
-    /// Keys whose homes have not all answered yet.
+    /// Keys that have been registered and not granted yet.
     pub fn registering(&self) -> Vec<RequestKey> {
         self.registering.iter().cloned().collect()
     }
 
-    /// The request of a key and its homes that have not given the key to it.
+    /// The request of a key, and the homes that have not confirmed its ownership.
     pub fn unsettled_homes(&self, key: &RequestKey) -> Option<(RequestId, Vec<GroupId>)> {
         let own = self.keys.get(key)?;
         let homes = own
@@ -168,7 +169,7 @@
         Some((own.request, homes))
     }
 
-    /// Keys with an open registration at a home; its earlier answers no longer count.
+    /// Discards a home's earlier answers and returns the keys that have to be registered there again.
     pub fn home_changed(&mut self, home: &GroupId) -> Vec<(RequestKey, RequestId)> {
         let mut open = Vec::new();
         for key in &self.registering {
@@ -184,7 +185,7 @@
         open
     }
 
-    /// Notes the end of a request; its homes, when it had the key.
+    /// Records the end of a request. Returns the homes to notify, if the request had the key.
     pub fn end(
         &mut self,
         now: Duration,
@@ -213,8 +214,8 @@
         homes
     }
 
-    /// What a new holder of `home` has to know: the keys that were granted. Requests that still wait for
-    /// theirs register anew.
+    /// The granted keys that a new holder of `home` needs. Requests that still wait for their key register
+    /// again.
     pub fn known(&self, here: &NodeId, home: &GroupId) -> Vec<KnownKey> {
         self.keys
             .iter()
@@ -232,7 +233,7 @@
             .collect()
     }
 
-    /// Forgets keys that ended long ago.
+    /// Removes keys that ended long ago.
     pub fn forget_old(&mut self, now: Duration, memory: Duration) {
         while let Some((at, key)) = self.ended.front() {
             if now.saturating_sub(*at) < memory {
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Adds the answers up; see the table in the documentation of [`crate::keys`].
+    /// Combines the answers; see the table in the documentation of [`crate::keys`].
     fn verdict(&self, here: &NodeId) -> Verdict {
         let mut owned = 0;
         let mut open = 0;
@@ -272,7 +273,7 @@
         let patient = self.rounds < SPLIT_ROUNDS;
         match rival {
             Some(entry) if owned > 0 && here < entry && patient => Verdict::Wait,
-            // An earlier request of this node gave the key up, and the home has not heard of it yet.
+            // An earlier request of this node freed the key, and the home has not received that message yet.
             Some(entry) if here == entry && patient => Verdict::Wait,
             Some(_) if open > 0 && patient => Verdict::Wait,
             Some(_) => Verdict::Denied(in_progress()),
@@ -282,12 +283,12 @@
     }
 }
 
-/// A repeat of a request that has not ended; whether it was dispatched yet, nobody here can tell.
+/// Refusal of a repeat while the first request is open. This node can't tell whether it was dispatched.
 fn in_progress() -> Refusal {
     Refusal::with_ran(RefusalCode::InProgress, Ran::Unknown)
 }
 
-/// A repeat of a request that ended.
+/// Refusal of a repeat after the first request ended.
 fn already_ran(outcome: Outcome) -> Refusal {
     let ran = match outcome {
         Outcome::Failed => Ran::Unknown,
--- a/crates/dragonflystep_core/src/stop/mod.rs
+++ b/crates/dragonflystep_core/src/stop/mod.rs
@@ -1,7 +1,7 @@
-//! Planned stop: the node leaves without cutting off a request.
+//! Planned stop: drains the node without cutting off a request.
 //!
-//! A stopping node refuses new requests as not run, finishes those that it took in, hands its leases over
-//! and settles its claims. Only then it exits.
+//! A stopping node refuses new requests as not run, finishes those that it has accepted, hands over its
+//! leases and settles its claims. Only then does it exit.
 
 use {
     crate::{
@@ -13,29 +13,29 @@
     std::time::Duration,
 };
 
-/// How often the node looks whether it may exit.
+/// How often the node checks whether it can exit.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Longest wait for the platform once no request is open: an expired lease and a claim that still says
-/// `claimed` are safe to leave behind, a request is not.
+/// Longest wait for the platform once no request is open. An expired lease and a claim that still says
+/// `claimed` can be left behind safely; a request can't.
 const PLATFORM_PATIENCE: Duration = Duration::from_secs(30);
 
-/// State of this part.
+/// How far the planned stop of this node has come.
 #[derive(Debug, Default)]
 pub struct Stop {
     stage: Stage,
 }
 
-/// How far the stop is.
+/// Stage of the stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// No stop was asked for.
+    /// No stop was requested.
     #[default]
     Serving,
-    /// Requests are open.
+    /// Requests are still open.
     Draining,
-    /// No request is open; leases and claims are.
+    /// No request is open, but leases or claims are.
     Settling {
-        /// Since when.
+        /// When the last request ended, as seen by the poll.
         since: Duration,
     },
     /// The node was told to exit.
@@ -43,7 +43,7 @@
 }
 
 impl Stop {
-    /// Begins to stop.
+    /// Starts the stop and tells all members that this node is leaving.
     pub fn requested(&mut self, context: &mut Context<'_>) {
         if self.stage != Stage::Serving {
             return;
@@ -56,7 +56,7 @@
         context.log(LogLevel::Info, "stop began", Vec::new());
     }
 
-    /// Exits when nothing is left to do.
+    /// Exits once no request is open and leases and claims are settled, or after the timeout.
     pub fn round_due(
         &mut self,
         context: &mut Context<'_>,
@@ -79,7 +79,7 @@
         context.start_timer(LOOK_EVERY, Timer::StopRound);
     }
 
-    /// Hears from the other parts: a node that joins during the stop is told of it.
+    /// Tells a node that joins during the stop that this node is leaving.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         if let Signal::MemberJoined { node } = signal
             && context.view.stopping
