--- a/crates/dragonflystep_core/src/claims/claim.rs
+++ b/crates/dragonflystep_core/src/claims/claim.rs
@@ -1,7 +1,7 @@
 //! One claim and its stage.
 
 use {
-    super::{FIRST_PAUSE, LONGEST_PAUSE, row::ClaimRow},
+    super::{INITIAL_BACKOFF, MAX_BACKOFF, row::ClaimRow},
     crate::{
         context::View,
         ids::{RequestId, RowVersion},
@@ -67,10 +67,10 @@
     }
 
     /// Counts a failure and returns the delay before the next attempt.
-    pub fn next_pause(&mut self) -> Duration {
-        let pause = FIRST_PAUSE * (1 << self.failures.min(10));
+    pub fn next_backoff(&mut self) -> Duration {
+        let delay = INITIAL_BACKOFF * (1 << self.failures.min(10));
         self.failures += 1;
-        pause.min(LONGEST_PAUSE)
+        delay.min(MAX_BACKOFF)
     }
 }
 
--- a/crates/dragonflystep_core/src/claims/mod.rs
+++ b/crates/dragonflystep_core/src/claims/mod.rs
@@ -34,13 +34,13 @@
 };
 
 /// How long a claim waits for others to share its transaction.
-const COMMIT_AFTER: Duration = Duration::from_millis(20);
+const COMMIT_DELAY: Duration = Duration::from_millis(20);
 /// Delay before a failed call is repeated; doubled for each further failure up to [`MAX_BACKOFF`].
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest delay between two calls for the same claim.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Most rows in one transaction.
-const MOST_ROWS: usize = 100;
+const MAX_ROWS: usize = 100;
 
 /// The claims of this node and the calls to the table service that are in progress.
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
         }
         let mut due = Batch::default();
         let (mut commits, mut reads, mut outcomes) = (due.clone(), due.clone(), due.clone());
-        while due.len() < MOST_ROWS {
+        while due.len() < MAX_ROWS {
             let Some(key) = self.next_due(context.now) else {
                 break;
             };
@@ -77,7 +77,7 @@
         self.commit_claims(context, commits);
         self.read_claims(context, reads);
         self.commit_outcomes(context, outcomes);
-        self.arm(context);
+        self.schedule_round(context);
     }
 
     /// Handles an answer of the table service.
@@ -98,10 +98,10 @@
         };
         match call {
             TableCall::ClaimCommit(_) => self.committed(context, &batch, outcome),
-            TableCall::ClaimRead(_) => self.was_read(context, &batch, outcome),
+            TableCall::ClaimRead(_) => self.rows_read(context, &batch, outcome),
             _ => self.outcomes_written(context, &batch, outcome),
         }
-        self.arm(context);
+        self.schedule_round(context);
     }
 
     /// Handles a signal from another part of the core.
@@ -134,8 +134,8 @@
         }
         let claim = Claim::new(context.view, request);
         self.claims.insert(row_key.clone(), claim);
-        self.due.insert((context.now + COMMIT_AFTER, row_key));
-        self.arm(context);
+        self.due.insert((context.now + COMMIT_DELAY, row_key));
+        self.schedule_round(context);
     }
 
     fn ended(
@@ -155,37 +155,37 @@
         claim.wanted = false;
         match claim.stage {
             Stage::Waiting if claim.lost_answer => claim.stage = Stage::Unsettled,
-            Stage::Waiting => self.forget(&row_key),
+            Stage::Waiting => self.remove(&row_key),
             Stage::Written { version } => {
                 claim.stage = Stage::Ending { version, outcome };
-                self.put_off(context.now, &row_key, COMMIT_AFTER);
+                self.schedule(context.now, &row_key, COMMIT_DELAY);
             }
             // The other stages remove the row once it is known whether it exists.
             _ => (),
         }
-        self.arm(context);
+        self.schedule_round(context);
     }
 
     /// The next claim that is due now or soon enough to share the calls of this round.
     fn next_due(&mut self, now: Duration) -> Option<Arc<str>> {
         let (at, _) = self.due.first()?;
-        if *at > now + COMMIT_AFTER {
+        if *at > now + COMMIT_DELAY {
             return None;
         }
         self.due.pop_first().map(|(_, key)| key)
     }
 
-    fn put_off(&mut self, now: Duration, key: &Arc<str>, pause: Duration) {
-        self.due.insert((now + pause, key.clone()));
+    fn schedule(&mut self, now: Duration, key: &Arc<str>, delay: Duration) {
+        self.due.insert((now + delay, key.clone()));
     }
 
-    fn forget(&mut self, key: &Arc<str>) {
+    fn remove(&mut self, key: &Arc<str>) {
         self.claims.remove(key);
         self.due.retain(|(_, due)| due != key);
     }
 
     /// Starts the timer of the next round, unless a running timer is early enough.
-    fn arm(&mut self, context: &mut Context<'_>) {
+    fn schedule_round(&mut self, context: &mut Context<'_>) {
         let Some((at, _)) = self.due.first() else {
             return;
         };
--- a/crates/dragonflystep_core/src/claims/row.rs
+++ b/crates/dragonflystep_core/src/claims/row.rs
@@ -70,14 +70,14 @@
         match (self.state, self.outcome) {
             (ClaimState::Ended, None | Some(Outcome::Failed)) => already_ran(Ran::Unknown),
             (ClaimState::Ended, Some(_)) => already_ran(Ran::Yes),
-            (ClaimState::Claimed, _) if self.owner_lives(view) => {
+            (ClaimState::Claimed, _) if self.owner_is_alive(view) => {
                 Refusal::with_ran(RefusalCode::InProgress, Ran::Unknown)
             }
             (ClaimState::Claimed, _) => already_ran(Ran::Unknown),
         }
     }
 
-    fn owner_lives(&self, view: &View) -> bool {
+    fn owner_is_alive(&self, view: &View) -> bool {
         if self.node == view.node.id {
             return self.incarnation == view.node.incarnation;
         }
@@ -88,7 +88,7 @@
 }
 
 /// The refusal when a row can't be parsed: since somebody wrote it, the request may have run.
-pub(super) fn unreadable() -> Refusal {
+pub(super) fn unreadable_row_refusal() -> Refusal {
     already_ran(Ran::Unknown)
 }
 
--- a/crates/dragonflystep_core/src/claims/settle.rs
+++ b/crates/dragonflystep_core/src/claims/settle.rs
@@ -2,9 +2,9 @@
 
 use {
     super::{
-        COMMIT_AFTER, Claims,
+        COMMIT_DELAY, Claims,
         claim::{Batch, Claim, Stage},
-        row::{ClaimRow, ClaimState, unreadable},
+        row::{ClaimRow, ClaimState, unreadable_row_refusal},
     },
     crate::{
         context::{Context, Signal},
@@ -27,21 +27,21 @@
         for key in batch.keys() {
             match outcome {
                 TableOutcome::Committed(rows) => match find(rows, key) {
-                    Some(row) => self.stands(context, key, row.version),
+                    Some(row) => self.row_exists(context, key, row.version),
                     None => self.answer_lost(context, key),
                 },
                 TableOutcome::Conflicted(rows) => match find(rows, key) {
-                    Some(row) => self.settle_by(context, key, row),
+                    Some(row) => self.settle_from_row(context, key, row),
                     None => self.not_written(context, key, None),
                 },
-                TableOutcome::Unavailable => self.store_is_out(context, key),
+                TableOutcome::Unavailable => self.store_unavailable(context, key),
                 TableOutcome::Unknown | TableOutcome::Rows(_) => self.answer_lost(context, key),
             }
         }
     }
 
     /// Handles the rows that were read back.
-    pub(super) fn was_read(
+    pub(super) fn rows_read(
         &mut self,
         context: &mut Context<'_>,
         batch: &Batch,
@@ -50,10 +50,10 @@
         for key in batch.keys() {
             match outcome {
                 TableOutcome::Rows(rows) => match find(rows, key) {
-                    Some(row) => self.settle_by(context, key, row),
-                    None => self.is_absent(context, key),
+                    Some(row) => self.settle_from_row(context, key, row),
+                    None => self.row_absent(context, key),
                 },
-                _ => self.try_later(context, key),
+                _ => self.retry_later(context, key),
             }
         }
     }
@@ -67,17 +67,17 @@
     ) {
         for key in batch.keys() {
             match outcome {
-                TableOutcome::Committed(_) => self.forget(key),
+                TableOutcome::Committed(_) => self.remove(key),
                 TableOutcome::Conflicted(rows) => {
                     self.outcome_conflicted(context, key, find(rows, key));
                 }
-                _ => self.try_later(context, key),
+                _ => self.retry_later(context, key),
             }
         }
     }
 
     /// Handles the proof that a row with this claim's token exists at the given version.
-    fn stands(&mut self, context: &mut Context<'_>, key: &Arc<str>, version: RowVersion) {
+    fn row_exists(&mut self, context: &mut Context<'_>, key: &Arc<str>, version: RowVersion) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -91,21 +91,21 @@
             version,
             outcome: None,
         };
-        self.put_off(context.now, key, Duration::ZERO);
+        self.schedule(context.now, key, Duration::ZERO);
     }
 
     /// Settles the claim by the existing row, which may be its own or that of another request.
-    fn settle_by(&mut self, context: &mut Context<'_>, key: &Arc<str>, row: &Row) {
+    fn settle_from_row(&mut self, context: &mut Context<'_>, key: &Arc<str>, row: &Row) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
         let Some(found) = ClaimRow::read(&row.value) else {
-            return self.deny(context, key, unreadable());
+            return self.deny(context, key, unreadable_row_refusal());
         };
         if found.token == claim.row.token {
-            return self.stands(context, key, row.version);
+            return self.row_exists(context, key, row.version);
         }
-        if left_behind(claim, &found) && claim.wanted {
+        if is_abandoned_row(claim, &found) && claim.wanted {
             return self.not_written(context, key, Some(row.version));
         }
         let refusal = found.refusal(context.view);
@@ -127,13 +127,13 @@
         claim.stage = match (claim.wanted, claim.lost_answer) {
             (true, _) => Stage::Waiting,
             (false, true) => Stage::Unsettled,
-            (false, false) => return self.forget(key),
+            (false, false) => return self.remove(key),
         };
-        self.put_off(context.now, key, Duration::ZERO);
+        self.schedule(context.now, key, Duration::ZERO);
     }
 
     /// Handles a commit that certainly did not take place: the caller is refused at once.
-    fn store_is_out(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
+    fn store_unavailable(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -147,7 +147,7 @@
             let request = claim.request;
             context.signal(Signal::ClaimDenied { request, refusal });
         }
-        self.try_later(context, key);
+        self.retry_later(context, key);
     }
 
     /// Handles a commit of unknown result by reading the row back.
@@ -155,7 +155,7 @@
         if let Some(claim) = self.claims.get_mut(key) {
             claim.lost_answer = true;
             claim.stage = Stage::Unsettled;
-            self.put_off(context.now, key, Duration::ZERO);
+            self.schedule(context.now, key, Duration::ZERO);
         }
     }
 
@@ -164,22 +164,22 @@
     /// A lost write may still be in flight. If the claim is still wanted, it is written again with the same
     /// token, so it does no harm whichever of the two writes succeeds. If the claim is no longer wanted, its
     /// row may still appear; the incarnation then identifies it as abandoned, and a later claim replaces it.
-    fn is_absent(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
+    fn row_absent(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
         claim.replaces = None;
         if !claim.wanted {
-            return self.forget(key);
+            return self.remove(key);
         }
         claim.stage = Stage::Waiting;
-        self.put_off(context.now, key, COMMIT_AFTER);
+        self.schedule(context.now, key, COMMIT_DELAY);
     }
 
-    fn try_later(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
+    fn retry_later(&mut self, context: &mut Context<'_>, key: &Arc<str>) {
         if let Some(claim) = self.claims.get_mut(key) {
-            let pause = claim.next_pause();
-            self.put_off(context.now, key, pause);
+            let delay = claim.next_backoff();
+            self.schedule(context.now, key, delay);
         }
     }
 
@@ -188,7 +188,7 @@
         if let Some(request) = denied.map(|claim| claim.request) {
             context.signal(Signal::ClaimDenied { request, refusal });
         }
-        self.forget(key);
+        self.remove(key);
     }
 
     fn outcome_conflicted(&mut self, context: &mut Context<'_>, key: &Arc<str>, row: Option<&Row>) {
@@ -200,18 +200,18 @@
         };
         if row.is_some_and(|row| row.version == version) {
             // The condition of another row in the transaction did not hold.
-            return self.put_off(context.now, key, Duration::ZERO);
+            return self.schedule(context.now, key, Duration::ZERO);
         }
         let found = row.and_then(|row| ClaimRow::read(&row.value));
-        let done_before = match outcome {
+        let already_applied = match outcome {
             Some(_) => found.is_some_and(|found| found.token == claim.row.token),
             None => found.is_none_or(|found| found.token != claim.row.token),
         };
-        if !done_before {
+        if !already_applied {
             let fields = vec![("row", key.to_string())];
             context.log(LogLevel::Warn, "claim row was changed by another", fields);
         }
-        self.forget(key);
+        self.remove(key);
     }
 }
 
@@ -219,7 +219,7 @@
 ///
 /// This process keeps each claim until its row says that the request ended, or is removed. A row that still
 /// says `claimed` without a kept claim therefore belongs to a request that was never dispatched.
-fn left_behind(claim: &Claim, found: &ClaimRow) -> bool {
+fn is_abandoned_row(claim: &Claim, found: &ClaimRow) -> bool {
     let own = &claim.row;
     found.node == own.node
         && found.incarnation == own.incarnation
--- a/crates/dragonflystep_core/src/entry/asking.rs
+++ b/crates/dragonflystep_core/src/entry/asking.rs
@@ -3,10 +3,10 @@
 use {
     super::{
         Entry,
-        call::{Call, Caller, Gate},
+        call::{Call, Caller, Prerequisite},
         ending::Ending,
-        phase::{Phase, StandingAsk},
-        placement::Surroundings,
+        phase::{PendingAsk, Phase},
+        placement::PlacementInputs,
     },
     crate::{
         context::{Context, Signal},
@@ -19,17 +19,17 @@
 };
 
 /// How long a broker may leave an ask unanswered.
-const ASK_SILENCE: Duration = Duration::from_secs(1);
+const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long to wait for the answer to a withdrawal.
-const WITHDRAW_SILENCE: Duration = Duration::from_millis(300);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time that is added to twice the predicted wait before a broker with a queued ask is treated as silent.
-const QUEUE_PATIENCE: Duration = Duration::from_secs(2);
+const QUEUE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 /// How long requests wait for a fresh catalogue before they are refused.
-const ISOLATION_PATIENCE: Duration = Duration::from_secs(2);
+const STALE_CATALOGUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Shortest delay before a request that could not ask any broker is retried; up to twice as long at random.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Most moves of one request to another group or holder.
-const MOST_MOVES: u32 = 3;
+const MAX_MOVES: u32 = 3;
 /// How much sooner another group must start a request without a prefix to justify a move.
 const MOVE_MARGIN: Duration = Duration::from_millis(250);
 
@@ -37,7 +37,7 @@
 enum Admission {
     Admitted,
     /// The catalogue may be out of date; check again after a short delay.
-    Hold,
+    Wait,
     Refused(Refusal),
 }
 
@@ -52,8 +52,8 @@
         if matches!(call.phase, Phase::Waiting) {
             match self.admission(context, &mut call) {
                 Admission::Admitted => self.admit(context, request, &mut call),
-                Admission::Hold => {
-                    call.wake(context, request, RETRY_AFTER);
+                Admission::Wait => {
+                    call.schedule_retry(context, request, RETRY_DELAY);
                     self.calls.insert(request, call);
                     return;
                 }
@@ -74,14 +74,14 @@
 
     fn admission(&mut self, context: &Context<'_>, call: &mut Call) -> Admission {
         if !context.view.catalogue_is_fresh(context.now) {
-            let since = *call.isolated_since.get_or_insert(context.now);
-            if context.now.saturating_sub(since) < ISOLATION_PATIENCE {
-                return Admission::Hold;
+            let since = *call.stale_since.get_or_insert(context.now);
+            if context.now.saturating_sub(since) < STALE_CATALOGUE_TIMEOUT {
+                return Admission::Wait;
             }
             let refusal = Refusal::not_run(RefusalCode::Isolated);
-            return Admission::Refused(refusal.come_back_after(ISOLATION_PATIENCE));
+            return Admission::Refused(refusal.come_back_after(STALE_CATALOGUE_TIMEOUT));
         }
-        call.isolated_since = None;
+        call.stale_since = None;
         let catalogue = &context.view.catalogue;
         let facts = &call.facts;
         let known = catalogue.service(&facts.service).is_some()
@@ -107,7 +107,7 @@
         let Some(key) = call.facts.key.clone() else {
             return;
         };
-        call.key = Gate::Wanted;
+        call.key = Prerequisite::Requested;
         context.signal(Signal::KeyWanted {
             request,
             key,
@@ -117,23 +117,24 @@
 
     /// Chooses a group and asks its broker.
     pub(super) fn ask(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
-        let wish = call.next_group.take().filter(|group| {
+        let preferred = call.next_group.take().filter(|group| {
             self.placement
                 .is_active(context.view, &call.facts.service, group)
         });
         let avoid = call.avoid.take();
-        let around = Surroundings {
+        let inputs = PlacementInputs {
             view: context.view,
             groups: &self.groups,
             now: context.now,
         };
-        let chosen = wish.or_else(|| self.placement.choose(&around, &call.facts, avoid.as_ref()));
+        let chosen =
+            preferred.or_else(|| self.placement.choose(&inputs, &call.facts, avoid.as_ref()));
         let target =
             chosen.and_then(|group| Some((self.groups.broker(context.view, &group)?, group)));
         let Some((broker, group)) = target else {
             return self.wait_and_retry(context, request, call);
         };
-        ask_at(context, request, call, group, broker);
+        send_ask(context, request, call, group, broker);
     }
 
     /// Retries after a random delay, so that entries don't all ask at the same time.
@@ -145,7 +146,7 @@
     ) {
         call.phase = Phase::Waiting;
         let factor = context.random.random_range(1.0..2.0);
-        call.wake(context, request, RETRY_AFTER.mul_f64(factor));
+        call.schedule_retry(context, request, RETRY_DELAY.mul_f64(factor));
     }
 
     /// Records that an ask is queued, and moves the request when another group has a much shorter wait.
@@ -154,11 +155,11 @@
         let Some(mut call) = self.calls.remove(&request) else {
             return;
         };
-        self.note_queued(context, from, queued, &mut call);
+        self.record_queued(context, from, queued, &mut call);
         self.calls.insert(request, call);
     }
 
-    fn note_queued(
+    fn record_queued(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
@@ -173,27 +174,30 @@
         }
         if !self
             .groups
-            .note_epoch(&queued.ask.group, queued.epoch, from)
+            .record_epoch(&queued.ask.group, queued.epoch, from)
         {
             return;
         }
-        let patience = queued.predicted_wait * 2 + QUEUE_PATIENCE;
-        ask.silent_at = context.now + patience;
-        call.wake(context, queued.ask.request, patience);
+        let timeout = queued.predicted_wait * 2 + QUEUE_TIMEOUT_MARGIN;
+        ask.timeout_at = context.now + timeout;
+        call.schedule_retry(context, queued.ask.request, timeout);
         self.move_if_shorter(context, queued, call);
     }
 
     fn move_if_shorter(&mut self, context: &mut Context<'_>, queued: &Queued, call: &mut Call) {
-        if call.moves >= MOST_MOVES {
+        if call.moves >= MAX_MOVES {
             return;
         }
-        let around = Surroundings {
+        let inputs = PlacementInputs {
             view: context.view,
             groups: &self.groups,
             now: context.now,
         };
         let current = Some(&queued.ask.group);
-        let Some((other, wait)) = self.placement.best(&around, &call.facts, current) else {
+        let Some((other, wait)) = self
+            .placement
+            .least_wait_group(&inputs, &call.facts, current)
+        else {
             return;
         };
         // Another group would compute the prefix again. That is worth it only when the answer would otherwise
@@ -231,16 +235,16 @@
             return;
         }
         let group = refused.ask.group;
-        let holds = refused.epoch > 0 && self.groups.note_epoch(&group, refused.epoch, from);
+        let is_current = refused.epoch > 0 && self.groups.record_epoch(&group, refused.epoch, from);
         match refused.reason {
-            AskRefusal::Final { code } if holds => {
+            AskRefusal::Final { code } if is_current => {
                 let refusal = Refusal {
                     retry_after: refused.retry_after,
                     ..Refusal::not_run(code)
                 };
                 return self.end(context, request, call, &Ending::Refused(refusal));
             }
-            AskRefusal::Elsewhere { group: other } if holds && call.moves < MOST_MOVES => {
+            AskRefusal::Elsewhere { group: other } if is_current && call.moves < MAX_MOVES => {
                 call.moves += 1;
                 call.next_group = Some(other);
                 self.ask(context, request, &mut call);
@@ -265,14 +269,14 @@
         group: GroupId,
         holder: Option<NodeId>,
     ) {
-        self.placement.forget(&group);
-        let hint = holder.filter(|holder| holder != from && call.moves < MOST_MOVES);
+        self.placement.remove_load(&group);
+        let hint = holder.filter(|holder| holder != from && call.moves < MAX_MOVES);
         let Some(holder) = hint else {
             call.avoid = Some(group);
             return self.wait_and_retry(context, request, call);
         };
         call.moves += 1;
-        ask_at(context, request, call, group, holder);
+        send_ask(context, request, call, group, holder);
     }
 
     /// Asks again after a broker confirmed that the ask has left its queue.
@@ -290,19 +294,19 @@
     }
 
     /// Withdraws or abandons the pending ask when its broker has not answered in time.
-    pub(super) fn look_for_silence(
+    pub(super) fn check_broker_timeout(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
         mut call: Call,
     ) {
         match &call.phase {
-            Phase::Asking(ask) if context.now >= ask.silent_at => {
+            Phase::Asking(ask) if context.now >= ask.timeout_at => {
                 call.avoid = Some(ask.name.group.clone());
                 withdraw(context, request, &mut call);
                 self.calls.insert(request, call);
             }
-            Phase::Withdrawing(ask) if context.now >= ask.silent_at => {
+            Phase::Withdrawing(ask) if context.now >= ask.timeout_at => {
                 call.phase = Phase::Waiting;
                 self.advance(context, request, call);
             }
@@ -312,17 +316,17 @@
         }
     }
 
-    /// Asks again for each request whose pending ask is lost, which `gone` decides.
-    pub(super) fn ask_again_where(
+    /// Asks again for each request whose pending ask is lost, which `is_lost` decides.
+    pub(super) fn ask_again_if(
         &mut self,
         context: &mut Context<'_>,
-        gone: impl Fn(&StandingAsk) -> bool,
+        is_lost: impl Fn(&PendingAsk) -> bool,
     ) {
         let lost: Vec<RequestId> = self
             .calls
             .iter()
             .filter(|(_, call)| match &call.phase {
-                Phase::Asking(ask) | Phase::Withdrawing(ask) => gone(ask),
+                Phase::Asking(ask) | Phase::Withdrawing(ask) => is_lost(ask),
                 _ => false,
             })
             .map(|(request, _)| *request)
@@ -338,7 +342,7 @@
 }
 
 /// Sends an ask to one broker. A new timestamp distinguishes it from all earlier asks of the request.
-fn ask_at(
+fn send_ask(
     context: &mut Context<'_>,
     request: RequestId,
     call: &mut Call,
@@ -369,12 +373,12 @@
         fingerprint: facts.fingerprint,
     };
     context.send(&broker, Message::Ask(ask));
-    call.phase = Phase::Asking(StandingAsk {
+    call.phase = Phase::Asking(PendingAsk {
         name,
         broker,
-        silent_at: context.now + ASK_SILENCE,
+        timeout_at: context.now + ASK_TIMEOUT,
     });
-    call.wake(context, request, ASK_SILENCE);
+    call.schedule_retry(context, request, ASK_TIMEOUT);
 }
 
 /// Withdraws the pending ask; the next ask follows once the broker has confirmed or timed out.
@@ -383,9 +387,9 @@
     call.phase = match phase {
         Phase::Asking(ask) => {
             context.send(&ask.broker, Message::Withdraw(ask.name.clone()));
-            call.wake(context, request, WITHDRAW_SILENCE);
-            Phase::Withdrawing(StandingAsk {
-                silent_at: context.now + WITHDRAW_SILENCE,
+            call.schedule_retry(context, request, WITHDRAW_TIMEOUT);
+            Phase::Withdrawing(PendingAsk {
+                timeout_at: context.now + WITHDRAW_TIMEOUT,
                 ..ask
             })
         }
@@ -394,6 +398,6 @@
 }
 
 /// Whether the caller still waits for an answer.
-pub(super) fn caller_waits(call: &Call) -> bool {
-    call.caller == Caller::Waits
+pub(super) fn caller_is_waiting(call: &Call) -> bool {
+    call.caller == Caller::Waiting
 }
--- a/crates/dragonflystep_core/src/entry/call.rs
+++ b/crates/dragonflystep_core/src/entry/call.rs
@@ -13,26 +13,26 @@
 
 /// State of a key or claim that a request may need before it is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Gate {
+pub(super) enum Prerequisite {
     /// The request does not need it.
     NotNeeded,
     /// It is needed and has not been requested yet.
-    Closed,
+    NotRequested,
     /// It was requested, and no answer has arrived.
-    Wanted,
+    Requested,
     /// The request has it.
-    Open,
+    Met,
 }
 
-impl Gate {
+impl Prerequisite {
     /// Whether a dispatch still has to wait for it.
     pub fn blocks(self) -> bool {
-        matches!(self, Self::Closed | Self::Wanted)
+        matches!(self, Self::NotRequested | Self::Requested)
     }
 
     /// Whether it was requested, so that the part that manages it has to be told when the request ends.
-    pub fn was_wanted(self) -> bool {
-        matches!(self, Self::Wanted | Self::Open)
+    pub fn was_requested(self) -> bool {
+        matches!(self, Self::Requested | Self::Met)
     }
 }
 
@@ -40,11 +40,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Caller {
     /// The caller waits for its answer.
-    Waits,
+    Waiting,
     /// The caller disconnected; the request runs on.
     Left,
     /// The caller has its final answer; the request runs on.
-    Told,
+    Answered,
 }
 
 /// One open request: its facts, prerequisites and phase.
@@ -59,9 +59,9 @@
     /// Whether the request passed the check against the catalogue in force.
     pub admitted: bool,
     /// State of the idempotency key.
-    pub key: Gate,
+    pub key: Prerequisite,
     /// State of the durable claim, which only a non-idempotent request with a key needs.
-    pub claim: Gate,
+    pub claim: Prerequisite,
     /// Whether the caller still waits for an answer.
     pub caller: Caller,
     /// How far the request has come.
@@ -75,22 +75,22 @@
     /// How often the request was moved to another group or holder; bounded by `MAX_MOVES`.
     pub moves: u32,
     /// Whether a grant expired while the key or claim was missing; the next ask then waits for the key.
-    pub ask_late: bool,
+    pub ask_after_key: bool,
     /// Since when the catalogue has been too old to act on; `None` while it is fresh.
-    pub isolated_since: Option<Duration>,
+    pub stale_since: Option<Duration>,
     /// When the retry timer is due; `None` when no retry is scheduled.
-    pub wake_at: Option<Duration>,
+    pub retry_at: Option<Duration>,
 }
 
 impl Call {
     /// Creates the state of a request received at `now`.
     pub fn new(now: Duration, facts: Arc<RequestFacts>) -> Self {
         let key = match facts.key {
-            Some(_) => Gate::Closed,
-            None => Gate::NotNeeded,
+            Some(_) => Prerequisite::NotRequested,
+            None => Prerequisite::NotNeeded,
         };
         let claim = match facts.idempotent {
-            true => Gate::NotNeeded,
+            true => Prerequisite::NotNeeded,
             false => key,
         };
         Self {
@@ -100,15 +100,15 @@
             admitted: false,
             key,
             claim,
-            caller: Caller::Waits,
+            caller: Caller::Waiting,
             phase: Phase::Waiting,
             last_asked_at: None,
             avoid: None,
             next_group: None,
             moves: 0,
-            ask_late: false,
-            isolated_since: None,
-            wake_at: None,
+            ask_after_key: false,
+            stale_since: None,
+            retry_at: None,
         }
     }
 
@@ -122,12 +122,17 @@
     /// A claim needs a write to the table service. An ask before that write ends would leave the granted slot
     /// idle.
     pub fn may_ask(&self) -> bool {
-        self.admitted && !self.claim.blocks() && !(self.ask_late && self.key.blocks())
+        self.admitted && !self.claim.blocks() && !(self.ask_after_key && self.key.blocks())
     }
 
     /// Schedules a retry of this request.
-    pub fn wake(&mut self, context: &mut Context<'_>, request: RequestId, after: Duration) {
-        self.wake_at = Some(context.now + after);
+    pub fn schedule_retry(
+        &mut self,
+        context: &mut Context<'_>,
+        request: RequestId,
+        after: Duration,
+    ) {
+        self.retry_at = Some(context.now + after);
         context.start_timer(after, Timer::RequestRetry(request));
     }
 }
@@ -138,7 +143,7 @@
         match &self.phase {
             Phase::Waiting | Phase::Asking(_) | Phase::Withdrawing(_) => None,
             Phase::Granted(unsent) => Some(&unsent.0),
-            Phase::Dispatching(departing) => Some(&departing.grant),
+            Phase::Dispatching(dispatching) => Some(&dispatching.grant),
             Phase::Running(stream) | Phase::Resuming(stream) => Some(&stream.grant),
         }
     }
@@ -160,7 +165,7 @@
     }
 
     /// Skips the group of the pending ask in the next choice when that ask is at this broker.
-    pub fn avoid_broker(&mut self, node: &NodeId) {
+    pub fn avoid_group_of(&mut self, node: &NodeId) {
         if let Phase::Asking(ask) | Phase::Withdrawing(ask) = &self.phase
             && ask.broker == *node
         {
--- a/crates/dragonflystep_core/src/entry/crashes.rs
+++ b/crates/dragonflystep_core/src/entry/crashes.rs
@@ -16,21 +16,21 @@
 /// Running and recently broken streams of each upstream.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    upstreams: BTreeMap<UpstreamId, OnBoard>,
+    upstreams: BTreeMap<UpstreamId, UpstreamStreams>,
 }
 
 /// Running and recently broken streams of one upstream.
 #[derive(Debug, Default)]
-struct OnBoard {
+struct UpstreamStreams {
     /// When each running stream was dispatched.
     running: BTreeMap<RequestId, Duration>,
-    broken: BTreeMap<RequestId, Broken>,
+    broken: BTreeMap<RequestId, BrokenStream>,
 }
 
 /// A stream that broke and has not been resumed.
 #[derive(Debug)]
-struct Broken {
-    boarded_at: Duration,
+struct BrokenStream {
+    dispatched_at: Duration,
     /// When it first broke. Attempts to resume it may fail until long after that.
     broke_at: Duration,
     last_broke_at: Duration,
@@ -42,30 +42,36 @@
 
 impl Crashes {
     /// Records the dispatch of a request to an upstream.
-    pub fn boarded(&mut self, now: Duration, upstream: &UpstreamId, request: RequestId) {
-        let on_board = self.upstreams.entry(upstream.clone()).or_default();
-        on_board.running.insert(request, now);
+    pub fn dispatched(&mut self, now: Duration, upstream: &UpstreamId, request: RequestId) {
+        let streams = self.upstreams.entry(upstream.clone()).or_default();
+        streams.running.insert(request, now);
     }
 
     /// Records the end of a stream.
-    pub fn left(&mut self, upstream: &UpstreamId, request: RequestId) {
-        if let Some(on_board) = self.upstreams.get_mut(upstream) {
-            on_board.running.remove(&request);
+    pub fn ended(&mut self, upstream: &UpstreamId, request: RequestId) {
+        if let Some(streams) = self.upstreams.get_mut(upstream) {
+            streams.running.remove(&request);
         }
     }
 
     /// Records that a stream broke, for the first time or again.
-    pub fn broke(&mut self, now: Duration, upstream: &UpstreamId, request: RequestId, call: &Call) {
+    pub fn stream_broke(
+        &mut self,
+        now: Duration,
+        upstream: &UpstreamId,
+        request: RequestId,
+        call: &Call,
+    ) {
         let Some(stream) = call.stream() else {
             return;
         };
-        let on_board = self.upstreams.entry(upstream.clone()).or_default();
-        if let Some(broken) = on_board.broken.get_mut(&request) {
+        let streams = self.upstreams.entry(upstream.clone()).or_default();
+        if let Some(broken) = streams.broken.get_mut(&request) {
             broken.last_broke_at = now;
             return;
         }
-        let broken = Broken {
-            boarded_at: on_board.running.get(&request).copied().unwrap_or(now),
+        let broken = BrokenStream {
+            dispatched_at: streams.running.get(&request).copied().unwrap_or(now),
             broke_at: now,
             last_broke_at: now,
             group: stream.grant.name.group.clone(),
@@ -73,63 +79,61 @@
             prefill_done: stream.first_token_at.is_some(),
             reported: false,
         };
-        on_board.broken.insert(request, broken);
+        streams.broken.insert(request, broken);
     }
 
     /// Records that a broken stream was resumed.
     pub fn recovered(&mut self, upstream: &UpstreamId, request: RequestId) {
-        if let Some(on_board) = self.upstreams.get_mut(upstream) {
-            on_board.broken.remove(&request);
+        if let Some(streams) = self.upstreams.get_mut(upstream) {
+            streams.broken.remove(&request);
         }
     }
 
     /// Removes broken streams that are too old to belong to a new crash.
-    pub fn forget_old(&mut self, now: Duration) {
-        for on_board in self.upstreams.values_mut() {
-            on_board.forget_old(now);
+    pub fn remove_expired(&mut self, now: Duration) {
+        for streams in self.upstreams.values_mut() {
+            streams.remove_expired(now);
         }
         self.upstreams
-            .retain(|_, on_board| !on_board.running.is_empty() || !on_board.broken.is_empty());
+            .retain(|_, streams| !streams.running.is_empty() || !streams.broken.is_empty());
     }
 
     /// Builds the report of the crash that broke a stream, once for each crash; `None` while a stream that
     /// ran with it still works.
-    fn observed(
+    fn crash_report(
         &mut self,
         now: Duration,
         upstream: &UpstreamId,
         request: RequestId,
-        for_good: bool,
+        permanent: bool,
     ) -> Option<CrashObserved> {
-        let on_board = self.upstreams.get_mut(upstream)?;
-        on_board.forget_old(now);
-        let event = on_board.event_of(request)?;
-        let group = on_board.broken.get(&request)?.group.clone();
+        let streams = self.upstreams.get_mut(upstream)?;
+        streams.remove_expired(now);
+        let event = streams.broken_together(request)?;
+        let group = streams.broken.get(&request)?.group.clone();
         // The network may be the cause of a single broken stream. Several at once, or one that can't be
         // resumed, indicate a fault of the upstream.
-        let grave = for_good || event.len() > 1;
-        let reported = event
-            .iter()
-            .all(|request| on_board.broken[request].reported);
-        if !grave || reported {
+        let conclusive = permanent || event.len() > 1;
+        let reported = event.iter().all(|request| streams.broken[request].reported);
+        if !conclusive || reported {
             return None;
         }
         for request in &event {
-            if let Some(broken) = on_board.broken.get_mut(request) {
+            if let Some(broken) = streams.broken.get_mut(request) {
                 broken.reported = true;
             }
         }
         Some(CrashObserved {
             upstream: upstream.clone(),
             group,
-            fingerprints: on_board.suspects(&event),
+            fingerprints: streams.suspects(&event),
             on_board: u32::try_from(event.len()).unwrap_or(u32::MAX),
         })
     }
 }
 
-impl OnBoard {
-    fn forget_old(&mut self, now: Duration) {
+impl UpstreamStreams {
+    fn remove_expired(&mut self, now: Duration) {
         self.broken
             .retain(|_, broken| now.saturating_sub(broken.last_broke_at) <= CRASH_WINDOW);
     }
@@ -139,17 +143,17 @@
     ///
     /// Streams dispatched after the break are ignored, since a crashed upstream may soon accept new requests.
     /// Streams that broke before this one was dispatched belong to an earlier crash.
-    fn event_of(&self, request: RequestId) -> Option<Vec<RequestId>> {
+    fn broken_together(&self, request: RequestId) -> Option<Vec<RequestId>> {
         let broken = self.broken.get(&request)?;
-        let goes_on = self.running.iter().any(|(other, boarded_at)| {
-            *boarded_at <= broken.broke_at && !self.broken.contains_key(other)
+        let other_unbroken = self.running.iter().any(|(other, dispatched_at)| {
+            *dispatched_at <= broken.broke_at && !self.broken.contains_key(other)
         });
-        if goes_on {
+        if other_unbroken {
             return None;
         }
         let together = self.broken.iter().filter(|(other, each)| {
             **other == request
-                || (each.broke_at >= broken.boarded_at && each.boarded_at <= broken.broke_at)
+                || (each.broke_at >= broken.dispatched_at && each.dispatched_at <= broken.broke_at)
         });
         Some(together.map(|(other, _)| *other).collect())
     }
@@ -173,16 +177,16 @@
         context: &mut Context<'_>,
         upstream: &UpstreamId,
         request: RequestId,
-        for_good: bool,
+        permanent: bool,
     ) {
-        let observed = self
+        let crash_report = self
             .crashes
-            .observed(context.now, upstream, request, for_good);
-        let Some(observed) = observed else {
+            .crash_report(context.now, upstream, request, permanent);
+        let Some(crash_report) = crash_report else {
             return;
         };
-        if let Some(broker) = self.groups.broker(context.view, &observed.group) {
-            context.send(&broker, Message::CrashObserved(observed));
+        if let Some(broker) = self.groups.broker(context.view, &crash_report.group) {
+            context.send(&broker, Message::CrashObserved(crash_report));
         }
     }
 }
--- a/crates/dragonflystep_core/src/entry/ending.rs
+++ b/crates/dragonflystep_core/src/entry/ending.rs
@@ -32,7 +32,7 @@
     /// The request was refused before its dispatch.
     Refused(Refusal),
     /// The request was dispatched, or may have been, and has no complete answer.
-    GivenUp(Refusal, Outcome),
+    Abandoned(Refusal, Outcome),
 }
 
 impl Ending {
@@ -41,7 +41,7 @@
             Self::Answered { .. } => Outcome::Completed,
             Self::Rejected { .. } => Outcome::Rejected,
             Self::Refused(_) => Outcome::Failed,
-            Self::GivenUp(_, outcome) => *outcome,
+            Self::Abandoned(_, outcome) => *outcome,
         }
     }
 
@@ -55,7 +55,7 @@
                 RefusalCode::UpstreamRefused,
                 Ran::Unknown,
             )),
-            Self::Refused(refusal) | Self::GivenUp(refusal, _) => Some(refusal.clone()),
+            Self::Refused(refusal) | Self::Abandoned(refusal, _) => Some(refusal.clone()),
         }
     }
 }
@@ -69,13 +69,13 @@
         call: Call,
         ending: &Ending,
     ) {
-        if call.caller != Caller::Told {
-            tell_caller(context, request, &call, ending);
+        if call.caller != Caller::Answered {
+            answer_caller(context, request, &call, ending);
             record_end(context, &call, ending);
         }
         let outcome = call.may_have_been_sent().then(|| ending.outcome());
-        tell_key_and_claim(context, request, &call, outcome);
-        self.leave_broker(context, request, call, ending);
+        notify_key_and_claim(context, request, &call, outcome);
+        self.notify_broker(context, request, call, ending);
         context.effect(Effect::Release { request });
     }
 
@@ -93,29 +93,29 @@
             context,
             request,
             call,
-            &Ending::GivenUp(refusal, Outcome::Cancelled),
+            &Ending::Abandoned(refusal, Outcome::Cancelled),
         );
     }
 
     /// Gives the caller its final answer while the request runs on.
-    pub(super) fn tell_and_run_on(
+    pub(super) fn answer_and_run_on(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
         mut call: Call,
         code: RefusalCode,
     ) {
-        if call.caller != Caller::Told {
+        if call.caller != Caller::Answered {
             let refusal = Refusal::with_ran(code, super::streaming::ran_so_far(&call));
-            let ending = Ending::GivenUp(refusal, Outcome::Cancelled);
-            tell_caller(context, request, &call, &ending);
+            let ending = Ending::Abandoned(refusal, Outcome::Cancelled);
+            answer_caller(context, request, &call, &ending);
             record_end(context, &call, &ending);
-            call.caller = Caller::Told;
+            call.caller = Caller::Answered;
         }
         self.calls.insert(request, call);
     }
 
-    fn leave_broker(
+    fn notify_broker(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
@@ -129,11 +129,11 @@
                 context.send(&ask.broker, Message::Withdraw(ask.name));
             }
             Phase::Granted(UnsentGrant(grant)) => {
-                self.groups.let_go(&grant.name.group, request);
+                self.groups.release(&grant.name.group, request);
                 context.send(&grant.broker, Message::GrantReturned(grant.name));
             }
-            Phase::Dispatching(departing) => {
-                let stream = departing.sent(context.now);
+            Phase::Dispatching(dispatching) => {
+                let stream = dispatching.sent(context.now);
                 self.finish(context, request, &stream, ending, idempotent);
             }
             Phase::Running(stream) | Phase::Resuming(stream) => {
@@ -151,12 +151,12 @@
         idempotent: bool,
     ) {
         // A non-idempotent request runs to its end at the upstream, even if nobody receives its answer.
-        if idempotent && matches!(ending, Ending::GivenUp(..)) {
+        if idempotent && matches!(ending, Ending::Abandoned(..)) {
             context.effect(Effect::CancelStream { request });
         }
         let group = &stream.grant.name.group;
-        self.groups.let_go(group, request);
-        self.crashes.left(&stream.grant.upstream, request);
+        self.groups.release(group, request);
+        self.crashes.ended(&stream.grant.upstream, request);
         let broker = self.groups.broker(context.view, group);
         let cached_tokens = match ending {
             Ending::Answered { cached_tokens } => *cached_tokens,
@@ -177,20 +177,20 @@
     }
 }
 
-fn tell_caller(context: &mut Context<'_>, request: RequestId, call: &Call, ending: &Ending) {
+fn answer_caller(context: &mut Context<'_>, request: RequestId, call: &Call, ending: &Ending) {
     let effect = match ending {
         Ending::Answered { .. } => Effect::FinishAnswer { request },
         Ending::Rejected { .. } => Effect::RelayRejection { request },
-        Ending::Refused(refusal) | Ending::GivenUp(refusal, _) => Effect::Refuse {
+        Ending::Refused(refusal) | Ending::Abandoned(refusal, _) => Effect::Refuse {
             request,
-            refusal: truthful(call, refusal),
+            refusal: without_unproven_not_run(call, refusal),
         },
     };
     context.effect(effect);
 }
 
 /// The refusal to send. It never states that a request did not run if the request may have been sent.
-fn truthful(call: &Call, refusal: &Refusal) -> Refusal {
+fn without_unproven_not_run(call: &Call, refusal: &Refusal) -> Refusal {
     let mut refusal = refusal.clone();
     if call.may_have_been_sent() && refusal.ran == Ran::No {
         refusal.ran = Ran::Unknown;
@@ -198,7 +198,7 @@
     refusal
 }
 
-fn tell_key_and_claim(
+fn notify_key_and_claim(
     context: &mut Context<'_>,
     request: RequestId,
     call: &Call,
@@ -207,14 +207,14 @@
     let Some(key) = &call.facts.key else {
         return;
     };
-    if call.key.was_wanted() {
+    if call.key.was_requested() {
         context.signal(Signal::KeyEnded {
             request,
             key: key.clone(),
             outcome,
         });
     }
-    if call.claim.was_wanted() {
+    if call.claim.was_requested() {
         context.signal(Signal::ClaimEnded {
             request,
             key: key.clone(),
--- a/crates/dragonflystep_core/src/entry/granting.rs
+++ b/crates/dragonflystep_core/src/entry/granting.rs
@@ -5,7 +5,7 @@
         Entry,
         call::Call,
         ending::Ending,
-        phase::{Grant, Phase, StandingAsk, UnsentGrant},
+        phase::{Grant, PendingAsk, Phase, UnsentGrant},
     },
     crate::{
         catalogue::UpstreamState,
@@ -25,7 +25,7 @@
     pub(super) fn granted(&mut self, context: &mut Context<'_>, from: &NodeId, granted: Granted) {
         let request = granted.ask.request;
         let Some(mut call) = self.calls.remove(&request) else {
-            return give_back(context, from, granted.grant);
+            return return_grant(context, from, granted.grant);
         };
         if call
             .grant()
@@ -35,24 +35,24 @@
             self.calls.insert(request, call);
             return;
         }
-        let usable = self.groups.note_grant(&granted.grant, from);
+        let usable = self.groups.record_grant(&granted.grant, from);
         match &call.phase {
             Phase::Asking(ask) if answers(ask, &granted) => {
                 if usable {
                     self.take(context, from, granted, call);
                 } else {
-                    give_back(context, from, granted.grant);
+                    return_grant(context, from, granted.grant);
                     self.wait_and_retry(context, request, &mut call);
                     self.calls.insert(request, call);
                 }
             }
             Phase::Withdrawing(ask) if answers(ask, &granted) => {
-                give_back(context, from, granted.grant);
+                return_grant(context, from, granted.grant);
                 call.phase = Phase::Waiting;
                 self.advance(context, request, call);
             }
             _ => {
-                give_back(context, from, granted.grant);
+                return_grant(context, from, granted.grant);
                 self.calls.insert(request, call);
             }
         }
@@ -67,47 +67,47 @@
             cached_tokens: granted.cached_tokens,
             valid_until: granted.ask.asked_at + granted.valid_for,
         };
-        let good = context.now < grant.valid_until
+        let still_valid = context.now < grant.valid_until
             && takes_work(context.view, &grant)
             && context.view.catalogue_is_fresh(context.now);
-        if !good {
-            give_back(context, from, grant.name);
-            self.hold_off(context, request, &mut call);
+        if !still_valid {
+            return_grant(context, from, grant.name);
+            self.retry_later(context, request, &mut call);
             self.calls.insert(request, call);
             return;
         }
         self.groups.hold(&grant.name.group, request);
-        let left = grant.valid_until.saturating_sub(context.now);
+        let time_left = grant.valid_until.saturating_sub(context.now);
         call.phase = Phase::Granted(UnsentGrant(grant));
         if !call.may_dispatch() {
-            let patience = left.saturating_sub(RETURN_BEFORE_END);
-            call.wake(context, request, patience);
+            let delay = time_left.saturating_sub(RETURN_BEFORE_END);
+            call.schedule_retry(context, request, delay);
         }
         self.advance(context, request, call);
     }
 
     /// Retries after a short delay, with a new check of the catalogue's age before the next ask.
-    fn hold_off(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
+    fn retry_later(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
         if !context.view.catalogue_is_fresh(context.now) {
-            call.isolated_since.get_or_insert(context.now);
+            call.stale_since.get_or_insert(context.now);
         }
         self.wait_and_retry(context, request, call);
     }
 
     /// Returns an unused grant that is about to expire; the next ask then waits for the key.
-    pub(super) fn return_held(
+    pub(super) fn return_expiring(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
         mut call: Call,
     ) {
-        self.drop_unsent(context, request, &mut call);
-        call.ask_late = true;
+        self.return_unsent(context, request, &mut call);
+        call.ask_after_key = true;
         self.advance(context, request, call);
     }
 
     /// Returns the unused grant of a request and sets the request to waiting.
-    pub(super) fn drop_unsent(
+    pub(super) fn return_unsent(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
@@ -116,8 +116,8 @@
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
         match phase {
             Phase::Granted(UnsentGrant(grant)) => {
-                self.groups.let_go(&grant.name.group, request);
-                give_back(context, &grant.broker, grant.name);
+                self.groups.release(&grant.name.group, request);
+                return_grant(context, &grant.broker, grant.name);
             }
             other => call.phase = other,
         }
@@ -140,20 +140,20 @@
         let now = context.now;
         let upstream = context.view.catalogue.upstream(&unsent.0.upstream);
         let service = context.view.catalogue.service(&call.facts.service);
-        let good = now < unsent.0.valid_until
+        let still_valid = now < unsent.0.valid_until
             && takes_work(context.view, &unsent.0)
             && context.view.catalogue_is_fresh(now);
-        let (Some(upstream), Some(service), true) = (upstream, service, good) else {
+        let (Some(upstream), Some(service), true) = (upstream, service, still_valid) else {
             call.phase = Phase::Granted(unsent);
-            self.drop_unsent(context, request, &mut call);
-            self.hold_off(context, request, &mut call);
+            self.return_unsent(context, request, &mut call);
+            self.retry_later(context, request, &mut call);
             self.calls.insert(request, call);
             return;
         };
         let timeout = context.view.tuning.progress_timeout;
-        let (departing, effect) = unsent.depart(request, upstream, service.kind, timeout);
+        let (dispatching, effect) = unsent.into_dispatch(request, upstream, service.kind, timeout);
         context.effect(effect);
-        call.phase = Phase::Dispatching(departing);
+        call.phase = Phase::Dispatching(dispatching);
         self.calls.insert(request, call);
     }
 
@@ -168,18 +168,18 @@
             return;
         };
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
-        let Phase::Dispatching(departing) = phase else {
+        let Phase::Dispatching(dispatching) = phase else {
             call.phase = phase;
             self.calls.insert(request, call);
             return;
         };
-        let unsent = departing.not_sent();
+        let unsent = dispatching.not_sent();
         if unreachable {
             call.avoid = Some(unsent.0.name.group.clone());
         }
         call.phase = Phase::Granted(unsent);
-        self.drop_unsent(context, request, &mut call);
-        if !super::asking::caller_waits(&call) {
+        self.return_unsent(context, request, &mut call);
+        if !super::asking::caller_is_waiting(&call) {
             let refusal = Refusal::not_run(RefusalCode::CallerLeft);
             return self.end(context, request, call, &Ending::Refused(refusal));
         }
@@ -187,15 +187,16 @@
         self.calls.insert(request, call);
     }
 
-    /// Cancels a request at its broker's demand, to free its slot. Demands of former brokers are ignored.
+    /// Cancels an unsent or idempotent request at its broker's demand, to free its slot. Demands of former
+    /// brokers are ignored.
     pub(super) fn cancel_grant(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
         name: &GrantName,
     ) {
-        let present = self.groups.broker(context.view, &name.group);
-        if present.as_ref() != Some(from) {
+        let current = self.groups.broker(context.view, &name.group);
+        if current.as_ref() != Some(from) {
             return;
         }
         let Some(request) = self.request_of(name) else {
@@ -205,7 +206,7 @@
             return;
         };
         if matches!(call.phase, Phase::Granted(_)) {
-            self.drop_unsent(context, request, &mut call);
+            self.return_unsent(context, request, &mut call);
             self.wait_and_retry(context, request, &mut call);
             self.calls.insert(request, call);
             return;
@@ -227,7 +228,7 @@
             context,
             request,
             call,
-            &Ending::GivenUp(refusal, Outcome::Cancelled),
+            &Ending::Abandoned(refusal, Outcome::Cancelled),
         );
     }
 
@@ -253,10 +254,10 @@
         && !view.leaving_upstreams.contains(&upstream.id)
 }
 
-fn answers(ask: &StandingAsk, granted: &Granted) -> bool {
+fn answers(ask: &PendingAsk, granted: &Granted) -> bool {
     ask.name == granted.ask && ask.name.group == granted.grant.group
 }
 
-fn give_back(context: &mut Context<'_>, broker: &NodeId, grant: GrantName) {
+fn return_grant(context: &mut Context<'_>, broker: &NodeId, grant: GrantName) {
     context.send(broker, Message::GrantReturned(grant));
 }
--- a/crates/dragonflystep_core/src/entry/groups.rs
+++ b/crates/dragonflystep_core/src/entry/groups.rs
@@ -15,7 +15,7 @@
 
 /// What this node knows of one group.
 #[derive(Debug, Default)]
-pub(super) struct GroupRecord {
+pub(super) struct GroupState {
     /// Newest epoch that this node has seen.
     pub epoch: Epoch,
     /// Broker of that epoch; `None` when it is unknown or was lost.
@@ -32,17 +32,17 @@
 /// Records of all groups that this node has dealt with.
 #[derive(Debug, Default)]
 pub(super) struct Groups {
-    records: BTreeMap<GroupId, GroupRecord>,
+    records: BTreeMap<GroupId, GroupState>,
 }
 
 impl Groups {
     /// The record of a group, if there is one.
-    pub fn get(&self, group: &str) -> Option<&GroupRecord> {
+    pub fn get(&self, group: &str) -> Option<&GroupState> {
         self.records.get(group)
     }
 
     /// Records an epoch that a broker named. Returns false when a newer epoch is known.
-    pub fn note_epoch(&mut self, group: &GroupId, epoch: Epoch, broker: &NodeId) -> bool {
+    pub fn record_epoch(&mut self, group: &GroupId, epoch: Epoch, broker: &NodeId) -> bool {
         let record = self.records.entry(group.clone()).or_default();
         if epoch < record.epoch {
             return false;
@@ -60,8 +60,8 @@
     ///
     /// A grant that arrives after a report already covered its number was missing from that report, so its
     /// broker may have granted the slot to another request.
-    pub fn note_grant(&mut self, grant: &GrantName, broker: &NodeId) -> bool {
-        if !self.note_epoch(&grant.group, grant.epoch, broker) {
+    pub fn record_grant(&mut self, grant: &GrantName, broker: &NodeId) -> bool {
+        if !self.record_epoch(&grant.group, grant.epoch, broker) {
             return false;
         }
         let record = self.records.entry(grant.group.clone()).or_default();
@@ -77,7 +77,7 @@
     }
 
     /// Records that a request no longer holds a grant of the group.
-    pub fn let_go(&mut self, group: &str, request: RequestId) {
+    pub fn release(&mut self, group: &str, request: RequestId) {
         if let Some(record) = self.records.get_mut(group) {
             record.requests.remove(&request);
         }
@@ -102,9 +102,9 @@
     /// The broker of the group, unless it is suspected or not a member.
     pub fn reachable_broker(&self, view: &View, group: &str) -> Option<NodeId> {
         let broker = self.broker(view, group)?;
-        let here = broker == view.node.id;
+        let is_local = broker == view.node.id;
         let member = view.members.get(&broker);
-        let reachable = here || member.is_some_and(|member| !member.suspected);
+        let reachable = is_local || member.is_some_and(|member| !member.suspected);
         reachable.then_some(broker)
     }
 
--- a/crates/dragonflystep_core/src/entry/mod.rs
+++ b/crates/dragonflystep_core/src/entry/mod.rs
@@ -22,12 +22,12 @@
 
 use {
     self::{
-        call::{Call, Caller, Gate},
+        call::{Call, Caller, Prerequisite},
         crashes::Crashes,
         ending::Ending,
         groups::Groups,
         phase::Phase,
-        placement::{Placement, Surroundings},
+        placement::{Placement, PlacementInputs},
     },
     crate::{
         context::{Context, Signal},
@@ -87,7 +87,7 @@
         } else if call.facts.idempotent {
             self.cancel(context, request, call, code);
         } else {
-            if call.caller == Caller::Waits {
+            if call.caller == Caller::Waiting {
                 call.caller = Caller::Left;
             }
             self.calls.insert(request, call);
@@ -109,7 +109,7 @@
         } else if call.facts.idempotent {
             self.cancel(context, request, call, code);
         } else {
-            self.tell_and_run_on(context, request, call, code);
+            self.answer_and_run_on(context, request, call, code);
         }
     }
 
@@ -118,18 +118,18 @@
         let Some(mut call) = self.calls.remove(&request) else {
             return;
         };
-        let due = call.wake_at.is_some_and(|at| at <= context.now);
+        let due = call.retry_at.is_some_and(|at| at <= context.now);
         if !due {
             self.calls.insert(request, call);
             return;
         }
-        call.wake_at = None;
+        call.retry_at = None;
         match &call.phase {
             Phase::Waiting => self.advance(context, request, call),
             Phase::Asking(_) | Phase::Withdrawing(_) => {
-                self.look_for_silence(context, request, call);
+                self.check_broker_timeout(context, request, call);
             }
-            Phase::Granted(_) => self.return_held(context, request, call),
+            Phase::Granted(_) => self.return_expiring(context, request, call),
             Phase::Resuming(_) => {
                 self.calls.insert(request, call);
                 self.resume_due(context, request);
@@ -144,8 +144,8 @@
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         context.start_timer(context.view.tuning.round, Timer::EntryRound);
         self.report_holdings(context);
-        self.placement.forget_old(context.now);
-        self.crashes.forget_old(context.now);
+        self.placement.remove_expired(context.now);
+        self.crashes.remove_expired(context.now);
     }
 
     /// Handles an event of a connection to an upstream.
@@ -161,7 +161,7 @@
             Message::AskRefused(refused) => self.refused(context, from, refused),
             Message::Withdrawn(name) => self.withdrawn(context, &name),
             Message::CancelGrant(name) => self.cancel_grant(context, from, &name),
-            Message::Summary(summary) => self.summarized(context, from, summary),
+            Message::Summary(summary) => self.summary_received(context, from, summary),
             _ => (),
         }
     }
@@ -173,26 +173,26 @@
         from: &NodeId,
         reregister: &Reregister,
     ) {
-        self.tell_new_broker(context, from, reregister);
+        self.report_to_new_broker(context, from, reregister);
     }
 
     /// Withdraws from a lost node: the asks that were pending there are sent to other brokers.
     pub fn peer_lost(&mut self, context: &mut Context<'_>, node: &NodeId) {
         self.groups.forget_broker(node);
         for call in self.calls.values_mut() {
-            call.avoid_broker(node);
+            call.avoid_group_of(node);
         }
-        self.ask_again_where(context, |ask| ask.broker == *node);
+        self.ask_again_if(context, |ask| ask.broker == *node);
     }
 
     /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::KeyGranted { request } => {
-                self.open_gate(context, *request, |call| call.key = Gate::Open);
+                self.prerequisite_met(context, *request, |call| call.key = Prerequisite::Met);
             }
             Signal::ClaimGranted { request } => {
-                self.open_gate(context, *request, |call| call.claim = Gate::Open);
+                self.prerequisite_met(context, *request, |call| call.claim = Prerequisite::Met);
             }
             Signal::KeyDenied { request, refusal } | Signal::ClaimDenied { request, refusal } => {
                 self.denied(context, *request, refusal);
@@ -202,7 +202,7 @@
             }
             Signal::HolderChanged { group } => {
                 let broker = self.groups.broker(context.view, group);
-                self.ask_again_where(context, |ask| {
+                self.ask_again_if(context, |ask| {
                     ask.name.group == *group && Some(&ask.broker) != broker.as_ref()
                 });
             }
@@ -216,14 +216,17 @@
         self.calls.len()
     }
 
-    fn summarized(&mut self, context: &Context<'_>, from: &NodeId, summary: Summary) {
-        if self.groups.note_epoch(&summary.group, summary.epoch, from) {
+    fn summary_received(&mut self, context: &Context<'_>, from: &NodeId, summary: Summary) {
+        if self
+            .groups
+            .record_epoch(&summary.group, summary.epoch, from)
+        {
             self.placement
-                .note_summary(context.view, context.now, summary);
+                .record_summary(context.view, context.now, summary);
         }
     }
 
-    fn open_gate(
+    fn prerequisite_met(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
@@ -233,20 +236,20 @@
             return;
         };
         open(&mut call);
-        self.want_claim(context, request, &mut call);
+        self.request_claim(context, request, &mut call);
         self.advance(context, request, call);
     }
 
     /// Requests the claim only once the key is owned. Otherwise two entries could each get one of the two and
     /// deny each other.
-    fn want_claim(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
-        if call.key != Gate::Open || call.claim != Gate::Closed {
+    fn request_claim(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
+        if call.key != Prerequisite::Met || call.claim != Prerequisite::NotRequested {
             return;
         }
         let Some(key) = call.facts.key.clone() else {
             return;
         };
-        call.claim = Gate::Wanted;
+        call.claim = Prerequisite::Requested;
         context.signal(Signal::ClaimWanted { request, key });
     }
 
@@ -262,11 +265,11 @@
     }
 
     fn least_wait(&self, context: &Context<'_>, call: &Call) -> Option<Duration> {
-        let around = Surroundings {
+        let inputs = PlacementInputs {
             view: context.view,
             groups: &self.groups,
             now: context.now,
         };
-        self.placement.least_wait(&around, &call.facts)
+        self.placement.least_wait(&inputs, &call.facts)
     }
 }
--- a/crates/dragonflystep_core/src/entry/phase.rs
+++ b/crates/dragonflystep_core/src/entry/phase.rs
@@ -19,13 +19,13 @@
     /// No ask is pending: the request waits for its key, its claim, the catalogue or a broker.
     Waiting,
     /// An ask is pending at a broker.
-    Asking(StandingAsk),
+    Asking(PendingAsk),
     /// The ask is being withdrawn so that another group can be asked.
-    Withdrawing(StandingAsk),
+    Withdrawing(PendingAsk),
     /// A grant is held while the key or the claim is still missing.
     Granted(UnsentGrant),
     /// The driver was told to dispatch and has not yet reported whether it did.
-    Dispatching(DepartingGrant),
+    Dispatching(DispatchingGrant),
     /// The request was dispatched.
     Running(Stream),
     /// The request was dispatched; its stream broke and is being resumed.
@@ -34,13 +34,13 @@
 
 /// An ask that was sent to one broker and not answered finally.
 #[derive(Debug)]
-pub(super) struct StandingAsk {
+pub(super) struct PendingAsk {
     /// Identifies the ask in the broker's messages.
     pub name: AskName,
     /// Broker that the ask was sent to.
     pub broker: NodeId,
     /// Time after which the broker is treated as silent.
-    pub silent_at: Duration,
+    pub timeout_at: Duration,
 }
 
 /// A broker's permission to dispatch one request to one upstream.
@@ -64,13 +64,13 @@
 
 impl UnsentGrant {
     /// Turns the grant into the effect that tells the driver to dispatch.
-    pub fn depart(
+    pub fn into_dispatch(
         self,
         request: RequestId,
         upstream: &Upstream,
         kind: ServiceKind,
         progress_timeout: Duration,
-    ) -> (DepartingGrant, Effect) {
+    ) -> (DispatchingGrant, Effect) {
         let effect = Effect::Dispatch {
             request,
             upstream: self.0.upstream.clone(),
@@ -80,23 +80,23 @@
             valid_until: self.0.valid_until,
             progress_timeout,
         };
-        let departing = DepartingGrant {
+        let dispatching = DispatchingGrant {
             grant: self.0,
             kind,
         };
-        (departing, effect)
+        (dispatching, effect)
     }
 }
 
 /// A grant that was handed to the driver, which may or may not have sent the request.
 #[derive(Debug)]
-pub(super) struct DepartingGrant {
+pub(super) struct DispatchingGrant {
     /// The grant that was handed over.
     pub grant: Grant,
     kind: ServiceKind,
 }
 
-impl DepartingGrant {
+impl DispatchingGrant {
     /// Takes the grant back after the driver reported that nothing was sent.
     pub fn not_sent(self) -> UnsentGrant {
         UnsentGrant(self.grant)
@@ -111,7 +111,7 @@
             first_token_at: None,
             progress_at: now,
             tokens: 0,
-            resumes: 0,
+            resume_attempts: 0,
             resume_at: None,
         }
     }
@@ -133,7 +133,7 @@
     /// Number of tokens that have arrived.
     pub tokens: u32,
     /// Attempts to resume since the last new token.
-    pub resumes: u32,
+    pub resume_attempts: u32,
     /// When the next attempt to resume is due; `None` while none is scheduled.
     pub resume_at: Option<Duration>,
 }
@@ -153,6 +153,6 @@
         }
         self.first_token(now);
         self.tokens = tokens;
-        self.resumes = 0;
+        self.resume_attempts = 0;
     }
 }
--- a/crates/dragonflystep_core/src/entry/placement.rs
+++ b/crates/dragonflystep_core/src/entry/placement.rs
@@ -25,9 +25,9 @@
 const SUMMARY_LIFETIME: Duration = Duration::from_secs(3);
 /// Share of its deadline that a request may wait longer at the home of its prefix than at another group.
 /// Computing one document in several groups costs all requests more than the wait costs this one.
-const HOME_PATIENCE: f64 = 0.5;
+const HOME_WAIT_SHARE: f64 = 0.5;
 /// Most candidates examined for one decision; bounds its cost.
-const LONGEST_LOOK: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 /// Predicted waits are compared in steps of this size, so that similar waits tie.
 const WAIT_STEP: Duration = Duration::from_millis(5);
 
@@ -40,7 +40,7 @@
 pub(super) struct Placement {
     indexed: Option<CatalogueVersion>,
     services: BTreeMap<ServiceId, ServiceGroups>,
-    loads: BTreeMap<GroupId, Load>,
+    loads: BTreeMap<GroupId, GroupLoad>,
 }
 
 /// The groups of one service that take new requests.
@@ -54,13 +54,13 @@
 /// Location of a group relative to this node, and its tie breaker.
 #[derive(Clone, Copy, Debug)]
 struct GroupSite {
-    elsewhere: bool,
+    is_remote: bool,
     tie_breaker: u64,
 }
 
 /// The last load summary from the broker of a group.
 #[derive(Debug)]
-struct Load {
+struct GroupLoad {
     service: ServiceId,
     epoch: Epoch,
     heard_at: Duration,
@@ -69,10 +69,10 @@
 }
 
 /// State outside the index that a decision reads.
-pub(super) struct Surroundings<'a> {
+pub(super) struct PlacementInputs<'a> {
     /// Shared state of the node: catalogue, members and lease holders.
     pub view: &'a View,
-    /// Epochs and brokers of the groups, as this module's caller knows them.
+    /// Epochs and brokers of the groups known to this node.
     pub groups: &'a Groups,
     /// Time of the decision.
     pub now: Duration,
@@ -101,7 +101,7 @@
     }
 
     /// Records a broker's load summary, unless it is of an older epoch than the last one.
-    pub fn note_summary(&mut self, view: &View, now: Duration, summary: Summary) {
+    pub fn record_summary(&mut self, view: &View, now: Duration, summary: Summary) {
         self.refresh(view);
         if self
             .loads
@@ -110,8 +110,8 @@
         {
             return;
         }
-        self.forget(&summary.group);
-        let load = Load {
+        self.remove_load(&summary.group);
+        let load = GroupLoad {
             service: summary.service,
             epoch: summary.epoch,
             heard_at: now,
@@ -125,7 +125,7 @@
     }
 
     /// Removes the load of a group whose summary is no longer valid.
-    pub fn forget(&mut self, group: &GroupId) {
+    pub fn remove_load(&mut self, group: &GroupId) {
         let Some(load) = self.loads.remove(group) else {
             return;
         };
@@ -135,40 +135,45 @@
     }
 
     /// The least predicted wait for the request's service and tier; `None` without a recent summary.
-    pub fn least_wait(&self, around: &Surroundings<'_>, facts: &RequestFacts) -> Option<Duration> {
-        self.best(around, facts, None).map(|(_, wait)| wait)
+    pub fn least_wait(
+        &self,
+        inputs: &PlacementInputs<'_>,
+        facts: &RequestFacts,
+    ) -> Option<Duration> {
+        self.least_wait_group(inputs, facts, None)
+            .map(|(_, wait)| wait)
     }
 
     /// Chooses the group to ask, avoiding `avoid` if another one is available: the home of the prefix, unless
     /// another group starts so much sooner that computing the prefix again costs less.
     pub fn choose(
         &mut self,
-        around: &Surroundings<'_>,
+        inputs: &PlacementInputs<'_>,
         facts: &RequestFacts,
         avoid: Option<&GroupId>,
     ) -> Option<GroupId> {
-        self.refresh(around.view);
-        let other = self.choose_other(around, facts, avoid);
+        self.refresh(inputs.view);
+        let other = self.choose_avoiding(inputs, facts, avoid);
         if other.is_none() && avoid.is_some() {
-            return self.choose_other(around, facts, None);
+            return self.choose_avoiding(inputs, facts, None);
         }
         other
     }
 
-    fn choose_other(
+    fn choose_avoiding(
         &self,
-        around: &Surroundings<'_>,
+        inputs: &PlacementInputs<'_>,
         facts: &RequestFacts,
         avoid: Option<&GroupId>,
     ) -> Option<GroupId> {
-        let home = self.home(around, facts, avoid);
-        let Some((best, best_wait)) = self.best(around, facts, avoid) else {
+        let home = self.home(inputs, facts, avoid);
+        let Some((best, best_wait)) = self.least_wait_group(inputs, facts, avoid) else {
             return home;
         };
         let Some(home) = home else {
             return Some(best);
         };
-        let Some(home_wait) = self.wait(around, &home, facts.tier) else {
+        let Some(home_wait) = self.wait(inputs, &home, facts.tier) else {
             // Brokers send their waits only to entries that asked them recently, so a group that is never
             // asked would stay unknown.
             let explore = !facts.prefix_blocks.is_empty() || best_wait >= WAIT_STEP;
@@ -178,8 +183,8 @@
             return Some(best);
         }
         let saving = self.prefix_saving(&home, facts);
-        let patience = facts.deadline.mul_f64(HOME_PATIENCE);
-        if home_wait > best_wait + saving.max(patience) {
+        let home_allowance = facts.deadline.mul_f64(HOME_WAIT_SHARE);
+        if home_wait > best_wait + saving.max(home_allowance) {
             return Some(best);
         }
         Some(home)
@@ -188,7 +193,7 @@
     /// The first reachable group on the ring after the hash of the leading blocks.
     fn home(
         &self,
-        around: &Surroundings<'_>,
+        inputs: &PlacementInputs<'_>,
         facts: &RequestFacts,
         avoid: Option<&GroupId>,
     ) -> Option<GroupId> {
@@ -196,16 +201,16 @@
         service
             .ring
             .from(leading_hash(facts))
-            .take(LONGEST_LOOK)
+            .take(MAX_CANDIDATES)
             .filter(|group| Some(*group) != avoid)
-            .find(|group| around.groups.reachable_broker(around.view, group).is_some())
+            .find(|group| inputs.groups.reachable_broker(inputs.view, group).is_some())
             .cloned()
     }
 
     /// The reachable group with the least predicted wait.
-    pub fn best(
+    pub fn least_wait_group(
         &self,
-        around: &Surroundings<'_>,
+        inputs: &PlacementInputs<'_>,
         facts: &RequestFacts,
         avoid: Option<&GroupId>,
     ) -> Option<(GroupId, Duration)> {
@@ -217,16 +222,16 @@
         ranks
             .iter()
             .map(|(_, _, _, group)| group)
-            .take(LONGEST_LOOK)
+            .take(MAX_CANDIDATES)
             .filter(|group| Some(*group) != avoid)
-            .filter(|group| around.groups.reachable_broker(around.view, group).is_some())
-            .find_map(|group| Some((group.clone(), self.wait(around, group, facts.tier)?)))
+            .filter(|group| inputs.groups.reachable_broker(inputs.view, group).is_some())
+            .find_map(|group| Some((group.clone(), self.wait(inputs, group, facts.tier)?)))
     }
 
     /// The predicted wait for a tier, if the broker's summary is recent enough.
-    fn wait(&self, around: &Surroundings<'_>, group: &str, tier: Tier) -> Option<Duration> {
+    fn wait(&self, inputs: &PlacementInputs<'_>, group: &str, tier: Tier) -> Option<Duration> {
         let load = self.loads.get(group)?;
-        if around.now.saturating_sub(load.heard_at) > SUMMARY_LIFETIME {
+        if inputs.now.saturating_sub(load.heard_at) > SUMMARY_LIFETIME {
             return None;
         }
         load.predicted_wait.get(usize::from(tier)).copied()
@@ -245,7 +250,7 @@
     }
 
     /// Removes expired summaries, so that dead groups don't occupy the top of the order.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         let old: Vec<GroupId> = self
             .loads
             .iter()
@@ -253,7 +258,7 @@
             .map(|(group, _)| group.clone())
             .collect();
         for group in old {
-            self.forget(&group);
+            self.remove_load(&group);
         }
     }
 
@@ -283,7 +288,7 @@
         }
     }
 
-    fn insert(&mut self, group: &GroupId, load: &Load) {
+    fn insert(&mut self, group: &GroupId, load: &GroupLoad) {
         let Some(site) = self.groups.get(group) else {
             return;
         };
@@ -293,7 +298,7 @@
         }
     }
 
-    fn remove(&mut self, group: &GroupId, load: &Load) {
+    fn remove(&mut self, group: &GroupId, load: &GroupLoad) {
         let Some(site) = self.groups.get(group) else {
             return;
         };
@@ -307,7 +312,7 @@
 
 fn wait_rank(group: &GroupId, site: GroupSite, wait: Duration) -> WaitRank {
     let steps = wait.as_millis() / WAIT_STEP.as_millis();
-    (steps, site.elsewhere, site.tie_breaker, group.clone())
+    (steps, site.is_remote, site.tie_breaker, group.clone())
 }
 
 fn leading_hash(facts: &RequestFacts) -> u64 {
@@ -331,10 +336,10 @@
         let groups = services.entry(Arc::clone(&upstream.service)).or_default();
         let tie_breaker = node_seed(view);
         let site = groups.entry(upstream.group.clone()).or_insert(GroupSite {
-            elsewhere: true,
+            is_remote: true,
             tie_breaker: xxh3_64_with_seed(upstream.group.as_bytes(), tie_breaker),
         });
-        site.elsewhere &= upstream.data_centre != view.node.data_centre;
+        site.is_remote &= upstream.data_centre != view.node.data_centre;
     }
     services
 }
--- a/crates/dragonflystep_core/src/entry/ring.rs
+++ b/crates/dragonflystep_core/src/entry/ring.rs
@@ -50,15 +50,15 @@
     pub fn from(&self, hash: u64) -> impl Iterator<Item = &GroupId> {
         let start = self.points.partition_point(|(point, _)| *point < hash);
         let (before, after) = self.points.split_at(start);
-        let mut met = Vec::new();
+        let mut seen = Vec::new();
         after
             .iter()
             .chain(before)
             .map(|(_, group)| group)
             .filter(move |group| {
-                let new = !met.contains(group);
+                let new = !seen.contains(group);
                 if new {
-                    met.push(group);
+                    seen.push(group);
                 }
                 new
             })
--- a/crates/dragonflystep_core/src/entry/rounds.rs
+++ b/crates/dragonflystep_core/src/entry/rounds.rs
@@ -41,34 +41,34 @@
     }
 
     /// Reports running requests to a new broker, drops unused grants of older epochs, and asks again.
-    pub(super) fn tell_new_broker(
+    pub(super) fn report_to_new_broker(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
         reregister: &Reregister,
     ) {
         let group = &reregister.group;
-        if !self.groups.note_epoch(group, reregister.epoch, from) {
+        if !self.groups.record_epoch(group, reregister.epoch, from) {
             return;
         }
-        let dead = self.drop_dead_grants(group, reregister);
+        let stale = self.drop_stale_grants(group, reregister);
         self.report_holding(context, group, from);
-        for request in dead {
+        for request in stale {
             if let Some(call) = self.calls.remove(&request) {
                 self.advance(context, request, call);
             }
         }
-        self.ask_again_where(context, |ask| {
+        self.ask_again_if(context, |ask| {
             ask.name.group == *group && ask.broker != *from
         });
     }
 
     /// Drops unused grants of older epochs. They are not returned, since their broker has been replaced.
-    fn drop_dead_grants(&mut self, group: &GroupId, reregister: &Reregister) -> Vec<RequestId> {
+    fn drop_stale_grants(&mut self, group: &GroupId, reregister: &Reregister) -> Vec<RequestId> {
         let Some(record) = self.groups.get(group) else {
             return Vec::new();
         };
-        let dead: Vec<RequestId> = record
+        let stale: Vec<RequestId> = record
             .requests
             .iter()
             .filter(|request| {
@@ -79,13 +79,13 @@
             })
             .copied()
             .collect();
-        for request in &dead {
-            self.groups.let_go(group, *request);
+        for request in &stale {
+            self.groups.release(group, *request);
             if let Some(call) = self.calls.get_mut(request) {
                 call.phase = Phase::Waiting;
             }
         }
-        dead
+        stale
     }
 }
 
--- a/crates/dragonflystep_core/src/entry/streaming.rs
+++ b/crates/dragonflystep_core/src/entry/streaming.rs
@@ -20,7 +20,7 @@
 };
 
 /// Most attempts to resume a broken stream without a new token in between.
-const MOST_RESUMES: u32 = 6;
+const MAX_RESUME_ATTEMPTS: u32 = 6;
 /// Delay before the second attempt; doubled for each further one.
 const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
@@ -31,26 +31,26 @@
             UpstreamEvent::DispatchExpired { request } => self.not_sent(context, request, false),
             UpstreamEvent::ConnectFailed { request } => self.not_sent(context, request, true),
             UpstreamEvent::Dispatched { request } => {
-                self.with_stream(context, request, |_, _| {});
+                self.update_stream(context, request, |_, _| {});
             }
             UpstreamEvent::FirstTokenArrived { request } => {
-                self.with_stream(context, request, |now, stream| stream.first_token(now));
+                self.update_stream(context, request, |now, stream| stream.first_token(now));
             }
             UpstreamEvent::TokensArrived { request, tokens } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
             }
             UpstreamEvent::AnswerCompleted {
                 request,
                 tokens,
                 cached_tokens,
             } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
                 self.end_stream(context, request, &Ending::Answered { cached_tokens });
             }
             UpstreamEvent::AnswerRejected {
                 request, not_run, ..
             } => {
-                self.with_stream(context, request, |_, _| {});
+                self.update_stream(context, request, |_, _| {});
                 self.end_stream(context, request, &Ending::Rejected { not_run });
             }
             UpstreamEvent::StreamBroken {
@@ -58,7 +58,7 @@
                 tokens,
                 silent,
             } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
                 self.stream_broke(context, request, silent);
             }
             UpstreamEvent::ResumeFailed { request, gone } => {
@@ -72,11 +72,11 @@
     }
 
     /// Updates a request's stream. Any event of the stream proves that the request was dispatched.
-    fn with_stream(
+    fn update_stream(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
-        note: impl FnOnce(Duration, &mut Stream),
+        update: impl FnOnce(Duration, &mut Stream),
     ) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
@@ -84,23 +84,24 @@
         let now = context.now;
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
         call.phase = match phase {
-            Phase::Dispatching(departing) => {
-                let mut stream = departing.sent(now);
+            Phase::Dispatching(dispatching) => {
+                let mut stream = dispatching.sent(now);
                 context.send(
                     &stream.grant.broker,
                     Message::Started(stream.grant.name.clone()),
                 );
-                self.crashes.boarded(now, &stream.grant.upstream, request);
-                note(now, &mut stream);
+                self.crashes
+                    .dispatched(now, &stream.grant.upstream, request);
+                update(now, &mut stream);
                 Phase::Running(stream)
             }
             Phase::Running(mut stream) => {
-                note(now, &mut stream);
+                update(now, &mut stream);
                 Phase::Running(stream)
             }
             Phase::Resuming(mut stream) => {
                 let tokens = stream.tokens;
-                note(now, &mut stream);
+                update(now, &mut stream);
                 if stream.tokens > tokens {
                     self.crashes.recovered(&stream.grant.upstream, request);
                     Phase::Running(stream)
@@ -133,7 +134,8 @@
         };
         let (upstream, resumable) = (stream.grant.upstream.clone(), can_resume(stream));
         if !silent {
-            self.crashes.broke(context.now, &upstream, request, call);
+            self.crashes
+                .stream_broke(context.now, &upstream, request, call);
             self.report_crash(context, &upstream, request, !resumable);
         }
         if resumable {
@@ -144,7 +146,7 @@
         } else {
             RefusalCode::UpstreamFailed
         };
-        self.give_stream_up(context, request, code);
+        self.abandon_stream(context, request, code);
     }
 
     fn resume_failed(&mut self, context: &mut Context<'_>, request: RequestId, gone: bool) {
@@ -158,9 +160,10 @@
         if !gone && can_resume(stream) {
             return self.resume(context, request);
         }
-        self.crashes.broke(context.now, &upstream, request, call);
+        self.crashes
+            .stream_broke(context.now, &upstream, request, call);
         self.report_crash(context, &upstream, request, true);
-        self.give_stream_up(context, request, RefusalCode::UpstreamFailed);
+        self.abandon_stream(context, request, RefusalCode::UpstreamFailed);
     }
 
     /// Resumes the stream at the same upstream: at once, and then after exponentially growing delays.
@@ -171,13 +174,14 @@
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
         call.phase = match phase {
             Phase::Running(mut stream) | Phase::Resuming(mut stream) => {
-                stream.resumes += 1;
-                if stream.resumes == 1 {
+                stream.resume_attempts += 1;
+                if stream.resume_attempts == 1 {
                     context.effect(resume_effect(request, &stream));
                 } else {
-                    let pause = RESUME_BACKOFF * (1 << (stream.resumes - 2).min(MOST_RESUMES));
+                    let pause = RESUME_BACKOFF
+                        * (1 << (stream.resume_attempts - 2).min(MAX_RESUME_ATTEMPTS));
                     stream.resume_at = Some(context.now + pause);
-                    call.wake(context, request, pause);
+                    call.schedule_retry(context, request, pause);
                 }
                 Phase::Resuming(stream)
             }
@@ -200,7 +204,7 @@
         }
     }
 
-    fn give_stream_up(&mut self, context: &mut Context<'_>, request: RequestId, code: RefusalCode) {
+    fn abandon_stream(&mut self, context: &mut Context<'_>, request: RequestId, code: RefusalCode) {
         let Some(call) = self.calls.remove(&request) else {
             return;
         };
@@ -209,7 +213,7 @@
             context,
             request,
             call,
-            &Ending::GivenUp(refusal, Outcome::Failed),
+            &Ending::Abandoned(refusal, Outcome::Failed),
         );
     }
 }
@@ -223,7 +227,7 @@
 }
 
 fn can_resume(stream: &Stream) -> bool {
-    stream.kind == ServiceKind::Engine && stream.resumes < MOST_RESUMES
+    stream.kind == ServiceKind::Engine && stream.resume_attempts < MAX_RESUME_ATTEMPTS
 }
 
 fn resume_effect(request: RequestId, stream: &Stream) -> Effect {
--- a/crates/dragonflystep_core/src/keys/home.rs
+++ b/crates/dragonflystep_core/src/keys/home.rs
@@ -15,17 +15,17 @@
 
 /// How long a new home waits for the records of nodes that are suspected to be unreachable. It waits for all
 /// other nodes until they have sent theirs.
-const UNREACHABLE_PATIENCE: Duration = Duration::from_secs(3);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most key records that one node keeps as a home. Beyond that it does not take in new keys; it never evicts
 /// a record to make space.
-const MOST_RECORDS: usize = 50_000;
+const MAX_RECORDS: usize = 50_000;
 /// A key whose end was never reported is removed after this multiple of the time for which an ended key is
 /// kept.
-const RUNNING_MEMORY_FACTOR: u32 = 6;
+const UNENDED_MEMORY_FACTOR: u32 = 6;
 
 /// The homes that this node holds, and former ones whose new holder has not asked for their records yet.
 #[derive(Debug, Default)]
-pub(super) struct HomeKeys {
+pub(super) struct HeldHomes {
     homes: BTreeMap<GroupId, Home>,
     ended: VecDeque<(Duration, GroupId, RequestKey)>,
     registered: VecDeque<(Duration, GroupId, RequestKey)>,
@@ -37,7 +37,7 @@
 struct Home {
     epoch: Epoch,
     since: Duration,
-    unheard: BTreeSet<NodeId>,
+    awaiting_refill: BTreeSet<NodeId>,
     records: BTreeMap<RequestKey, Record>,
 }
 
@@ -58,23 +58,23 @@
     /// Whether every node has sent its records, except nodes that are gone or were suspected when the timeout
     /// passed.
     fn is_ready(&self, view: &View, now: Duration) -> bool {
-        let patient = now.saturating_sub(self.since) < UNREACHABLE_PATIENCE;
-        self.unheard
+        let within_timeout = now.saturating_sub(self.since) < UNREACHABLE_TIMEOUT;
+        self.awaiting_refill
             .iter()
             .filter_map(|node| view.members.get(node))
-            .all(|member| member.suspected && !patient)
+            .all(|member| member.suspected && !within_timeout)
     }
 }
 
-impl HomeKeys {
+impl HeldHomes {
     /// Starts a term as the holder of a home. Records of an earlier term are kept.
     pub fn begin(&mut self, view: &View, now: Duration, group: &GroupId, epoch: Epoch) {
-        let unheard = view.members.keys().cloned().collect();
+        let awaiting_refill = view.members.keys().cloned().collect();
         let records = self.homes.remove(group).map(|home| home.records);
         let home = Home {
             epoch,
             since: now,
-            unheard,
+            awaiting_refill,
             records: records.unwrap_or_default(),
         };
         self.homes.insert(group.clone(), home);
@@ -118,7 +118,7 @@
         let home = self.homes.get_mut(&register.home)?;
         let ready = home.is_ready(context.view, now);
         let Some(record) = home.records.get(&register.key) else {
-            if self.record_count >= MOST_RECORDS {
+            if self.record_count >= MAX_RECORDS {
                 return None;
             }
             let record = Record {
@@ -130,13 +130,13 @@
                 tentative: !ready,
             };
             self.insert(&register.home, register.key.clone(), record);
-            return Some(owned(ready));
+            return Some(owned_if_ready(ready));
         };
         if let Some(outcome) = record.outcome {
             return Some(KeyState::Ended { outcome });
         }
         if record.entry == *from && record.request == register.request {
-            return Some(owned(ready));
+            return Some(owned_if_ready(ready));
         }
         Some(KeyState::Running {
             entry: record.entry.clone(),
@@ -194,14 +194,14 @@
         if home.epoch != epoch {
             return;
         }
-        home.unheard.remove(from);
+        home.awaiting_refill.remove(from);
         for known in keys {
-            let vouched = known.entry == *from || known.outcome.is_some();
-            self.refill_one(now, group, known, vouched);
+            let authoritative = known.entry == *from || known.outcome.is_some();
+            self.refill_key(now, group, known, authoritative);
         }
     }
 
-    fn refill_one(&mut self, now: Duration, group: &GroupId, known: KnownKey, vouched: bool) {
+    fn refill_key(&mut self, now: Duration, group: &GroupId, known: KnownKey, authoritative: bool) {
         let present = self
             .homes
             .get(group)
@@ -209,7 +209,7 @@
         let replaces = match present {
             None => true,
             Some(record) if record.outcome.is_some() => false,
-            Some(record) => (record.tentative && vouched) || known.outcome.is_some(),
+            Some(record) => (record.tentative && authoritative) || known.outcome.is_some(),
         };
         if !replaces {
             return;
@@ -220,40 +220,40 @@
             incarnation: None,
             at: now,
             outcome: known.outcome,
-            tentative: !vouched,
+            tentative: !authoritative,
         };
         self.insert(group, known.key, record);
     }
 
     /// Nodes that have not sent their records yet, for each held home with its epoch.
-    pub fn unheard(&self, context: &Context<'_>) -> Vec<(GroupId, Epoch, Vec<NodeId>)> {
-        let mut unheard = Vec::new();
+    pub fn awaiting_refill(&self, context: &Context<'_>) -> Vec<(GroupId, Epoch, Vec<NodeId>)> {
+        let mut awaiting_refill = Vec::new();
         for (group, home) in &self.homes {
             let held = self.granting_epoch(context, group).is_some();
-            if held && !home.unheard.is_empty() {
-                let nodes = home.unheard.iter().cloned().collect();
-                unheard.push((group.clone(), home.epoch, nodes));
+            if held && !home.awaiting_refill.is_empty() {
+                let nodes = home.awaiting_refill.iter().cloned().collect();
+                awaiting_refill.push((group.clone(), home.epoch, nodes));
             }
         }
-        unheard
+        awaiting_refill
     }
 
-    /// The records of this node's homes for the keys of `wanted`; `share` says whether a key that is kept at
+    /// The records of this node's homes for the keys of `wanted`; `shares_home` says whether a key that is kept at
     /// a home also belongs to `wanted`.
     ///
     /// Registrations of this node's own requests are left out, since the receiver would take this node as
     /// authoritative for them.
-    pub fn known(
+    pub fn known_keys(
         &self,
-        here: &NodeId,
+        own_node: &NodeId,
         wanted: &GroupId,
-        mut share: impl FnMut(&RequestKey, &GroupId) -> bool,
+        mut shares_home: impl FnMut(&RequestKey, &GroupId) -> bool,
     ) -> Vec<KnownKey> {
         let mut known = Vec::new();
         for (group, home) in &self.homes {
             for (key, record) in &home.records {
-                let foreign = record.entry != *here || record.outcome.is_some();
-                if foreign && (group == wanted || share(key, group)) {
+                let foreign = record.entry != *own_node || record.outcome.is_some();
+                if foreign && (group == wanted || shares_home(key, group)) {
                     known.push(KnownKey {
                         key: key.clone(),
                         entry: record.entry.clone(),
@@ -267,7 +267,7 @@
     }
 
     /// Drops the records of a home after they were sent to its new holder.
-    pub fn hand_over(&mut self, group: &GroupId, new_epoch: Epoch) {
+    pub fn drop_handed_over(&mut self, group: &GroupId, new_epoch: Epoch) {
         if self
             .homes
             .get(group)
@@ -278,10 +278,10 @@
         }
     }
 
-    /// Marks all running requests of a lost entry as ended with an unknown result.
+    /// Marks the open requests of a lost entry as failed, since nobody can tell how they ended.
     pub fn entry_gone(&mut self, now: Duration, node: &NodeId, incarnation: Incarnation) {
         for (group, home) in &mut self.homes {
-            home.unheard.remove(node);
+            home.awaiting_refill.remove(node);
             for (key, record) in &mut home.records {
                 let theirs = record.entry == *node
                     && record.incarnation.is_none_or(|known| known == incarnation);
@@ -295,9 +295,9 @@
     }
 
     /// Removes keys that ended long ago, or whose end was never reported.
-    pub fn forget_old(&mut self, now: Duration, memory: Duration) {
+    pub fn remove_expired(&mut self, now: Duration, memory: Duration) {
         let ended = pop_older(&mut self.ended, now, memory);
-        let lost = pop_older(&mut self.registered, now, memory * RUNNING_MEMORY_FACTOR);
+        let lost = pop_older(&mut self.registered, now, memory * UNENDED_MEMORY_FACTOR);
         for (at, group, key) in ended.into_iter().chain(lost) {
             let Some(home) = self.homes.get_mut(&group) else {
                 continue;
@@ -325,7 +325,7 @@
 }
 
 /// A home that is not ready records the key but can't confirm the ownership.
-fn owned(ready: bool) -> KeyState {
+fn owned_if_ready(ready: bool) -> KeyState {
     match ready {
         true => KeyState::Owned,
         false => KeyState::NotReady,
--- a/crates/dragonflystep_core/src/keys/homes.rs
+++ b/crates/dragonflystep_core/src/keys/homes.rs
@@ -16,13 +16,13 @@
 
 /// The rings that choose the homes, rebuilt for each catalogue version.
 #[derive(Debug, Default)]
-pub(super) struct HomeIndex {
+pub(super) struct HomeRings {
     indexed: Option<CatalogueVersion>,
     rings: BTreeMap<ServiceId, GroupRing>,
     services: BTreeMap<GroupId, ServiceId>,
 }
 
-impl HomeIndex {
+impl HomeRings {
     /// The homes of a key in ring order; fewer than two if the service has fewer groups.
     pub fn homes(
         &mut self,
@@ -41,7 +41,7 @@
     }
 
     /// Whether `home` is a home of a key that is kept at `other`, a group of the same service.
-    pub fn share(
+    pub fn shares_home(
         &mut self,
         catalogue: &Catalogue,
         key: &RequestKey,
--- a/crates/dragonflystep_core/src/keys/mod.rs
+++ b/crates/dragonflystep_core/src/keys/mod.rs
@@ -36,8 +36,8 @@
 
 use {
     self::{
-        home::HomeKeys,
-        homes::HomeIndex,
+        home::HeldHomes,
+        homes::HomeRings,
         own::{OwnKeys, Verdict},
     },
     crate::{
@@ -51,15 +51,15 @@
 
 /// Delays after which the end of a request is sent to its homes again, since a lost message would block the
 /// key.
-const TELL_AGAIN_AFTER: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
+const END_RESEND_DELAYS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
 
 /// The keys of this node's own requests, and the records of the homes that it holds.
 #[derive(Debug, Default)]
 pub struct Keys {
-    index: HomeIndex,
+    index: HomeRings,
     own: OwnKeys,
-    home: HomeKeys,
-    tell_again: [VecDeque<(Duration, KeyEnded)>; 2],
+    held_homes: HeldHomes,
+    pending_resends: [VecDeque<(Duration, KeyEnded)>; 2],
 }
 
 impl Keys {
@@ -67,14 +67,15 @@
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::KeyRegister(register) => {
-                let answer = self.home.register(context, from, register);
+                let answer = self.held_homes.register(context, from, register);
                 context.send(from, Message::KeyAnswer(answer));
             }
             Message::KeyAnswer(answer) => self.answered(context, answer),
-            Message::KeyEnded(ended) => self.home.ended(context.now, from, ended),
+            Message::KeyEnded(ended) => self.held_homes.ended(context.now, from, ended),
             Message::KeyRefill(refill) => {
                 let KeyRefill { home, epoch, keys } = refill;
-                self.home.refill(context.now, from, &home, epoch, keys);
+                self.held_homes
+                    .refill(context.now, from, &home, epoch, keys);
             }
             _ => (),
         }
@@ -95,10 +96,10 @@
         let refill = KeyRefill {
             home: group.clone(),
             epoch: reregister.epoch,
-            keys: self.known(context, group),
+            keys: self.known_keys(context, group),
         };
         context.send(from, Message::KeyRefill(refill));
-        self.home.hand_over(group, reregister.epoch);
+        self.held_homes.drop_handed_over(group, reregister.epoch);
         for (key, request) in self.own.home_changed(group) {
             register_at(context, from, group, key, request);
         }
@@ -110,11 +111,11 @@
         for key in self.own.registering() {
             self.register_again(context, &key);
         }
-        self.ask_unheard(context);
-        self.tell_ends_again(context);
+        self.announce_again(context);
+        self.resend_ends(context);
         let memory = context.view.tuning.key_memory;
-        self.own.forget_old(context.now, memory);
-        self.home.forget_old(context.now, memory);
+        self.own.remove_expired(context.now, memory);
+        self.held_homes.remove_expired(context.now, memory);
     }
 
     /// Handles a signal from another part of the core.
@@ -133,7 +134,7 @@
             Signal::LeaseAcquired { group, epoch } => self.home_acquired(context, group, *epoch),
             Signal::HolderChanged { group } => self.holder_changed(context, group),
             Signal::MemberGone { node, incarnation } => {
-                self.home.entry_gone(context.now, node, *incarnation);
+                self.held_homes.entry_gone(context.now, node, *incarnation);
             }
             _ => (),
         }
@@ -150,7 +151,7 @@
         if self.own.get(key, request).is_some() {
             return;
         }
-        match self.own.take(key, request, homes.clone()) {
+        match self.own.reserve(key, request, homes.clone()) {
             Ok(()) => {
                 for home in &homes {
                     register(context, home, key, request);
@@ -166,15 +167,15 @@
         if answer.epoch == 0 || old {
             return;
         }
-        let here = &context.view.node.id;
+        let own_node = &context.view.node.id;
         let verdict = self.own.answered(
-            here,
+            own_node,
             &answer.key,
             answer.request,
             &answer.home,
             answer.state,
         );
-        pronounce(context, answer.request, verdict);
+        signal_verdict(context, answer.request, verdict);
     }
 
     fn register_again(&mut self, context: &mut Context<'_>, key: &RequestKey) {
@@ -187,7 +188,7 @@
                 register(context, home, key, request);
             }
         }
-        pronounce(context, request, verdict);
+        signal_verdict(context, request, verdict);
     }
 
     fn ended(
@@ -204,17 +205,17 @@
                 request,
                 outcome,
             };
-            for (queue, after) in self.tell_again.iter_mut().zip(TELL_AGAIN_AFTER) {
+            for (queue, after) in self.pending_resends.iter_mut().zip(END_RESEND_DELAYS) {
                 queue.push_back((context.now + after, ended.clone()));
             }
-            tell_end(context, ended);
+            send_end(context, ended);
         }
     }
 
     /// Announces a home again to nodes that have not sent their records. The home's broker made the first
     /// announcement.
-    fn ask_unheard(&self, context: &mut Context<'_>) {
-        for (group, epoch, nodes) in self.home.unheard(context) {
+    fn announce_again(&self, context: &mut Context<'_>) {
+        for (group, epoch, nodes) in self.held_homes.awaiting_refill(context) {
             let reregister = Reregister { group, epoch };
             for node in nodes {
                 context.send(&node, Message::Reregister(reregister.clone()));
@@ -222,20 +223,22 @@
         }
     }
 
-    fn tell_ends_again(&mut self, context: &mut Context<'_>) {
-        for queue in &mut self.tell_again {
+    fn resend_ends(&mut self, context: &mut Context<'_>) {
+        for queue in &mut self.pending_resends {
             let due = queue.partition_point(|(due_at, _)| *due_at <= context.now);
             for (_, ended) in queue.drain(..due) {
-                tell_end(context, ended);
+                send_end(context, ended);
             }
         }
     }
 
     fn home_acquired(&mut self, context: &mut Context<'_>, group: &GroupId, epoch: Epoch) {
-        let known = self.known(context, group);
-        self.home.begin(context.view, context.now, group, epoch);
-        let here = &context.view.node.id;
-        self.home.refill(context.now, here, group, epoch, known);
+        let known = self.known_keys(context, group);
+        self.held_homes
+            .begin(context.view, context.now, group, epoch);
+        let own_node = &context.view.node.id;
+        self.held_homes
+            .refill(context.now, own_node, group, epoch, known);
         self.holder_changed(context, group);
     }
 
@@ -247,14 +250,14 @@
 
     /// Everything that this node knows of the keys of a home: those of its own requests and of the homes that
     /// it holds.
-    fn known(&mut self, context: &Context<'_>, group: &GroupId) -> Vec<KnownKey> {
+    fn known_keys(&mut self, context: &Context<'_>, group: &GroupId) -> Vec<KnownKey> {
         let catalogue = &context.view.catalogue;
         let index = &mut self.index;
-        let here = &context.view.node.id;
-        let mut known = self.home.known(here, group, |key, other| {
-            index.share(catalogue, key, group, other)
+        let own_node = &context.view.node.id;
+        let mut known = self.held_homes.known_keys(own_node, group, |key, other| {
+            index.shares_home(catalogue, key, group, other)
         });
-        known.extend(self.own.known(here, group));
+        known.extend(self.own.known_keys(own_node, group));
         known
     }
 }
@@ -283,14 +286,14 @@
     context.send(node, Message::KeyRegister(register));
 }
 
-fn tell_end(context: &mut Context<'_>, ended: KeyEnded) {
+fn send_end(context: &mut Context<'_>, ended: KeyEnded) {
     let holder = context.view.holders.get(&ended.home);
     if let Some(node) = holder.map(|holder| holder.node.clone()) {
         context.send(&node, Message::KeyEnded(ended));
     }
 }
 
-fn pronounce(context: &mut Context<'_>, request: RequestId, verdict: Verdict) {
+fn signal_verdict(context: &mut Context<'_>, request: RequestId, verdict: Verdict) {
     match verdict {
         Verdict::Wait => (),
         Verdict::Granted => context.signal(Signal::KeyGranted { request }),
--- a/crates/dragonflystep_core/src/keys/own.rs
+++ b/crates/dragonflystep_core/src/keys/own.rs
@@ -14,9 +14,9 @@
 };
 
 /// Rounds for which an entry waits for a competing entry or an open answer before it denies the request.
-const SPLIT_ROUNDS: u32 = 4;
+const SPLIT_WAIT_ROUNDS: u32 = 4;
 /// Most keys that one node remembers of its own requests; beyond that, new requests with keys are refused.
-const MOST_KEYS: usize = 50_000;
+const MAX_KEYS: usize = 50_000;
 
 /// The keys of this node's requests, with the answers of their homes.
 #[derive(Debug, Default)]
@@ -49,13 +49,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum HomeAnswer {
     /// The home has not answered yet.
-    Open,
+    Pending,
     /// The key belongs to this request.
     Owned,
     /// A request at the named entry has the key.
     Running(NodeId),
-    /// The home recorded the key but can't confirm the ownership yet, or could not take it in.
-    Changing,
+    /// The home recorded the key but can't confirm the ownership yet.
+    NotReady,
     /// A request with the key ended.
     Ended(Outcome),
 }
@@ -74,23 +74,23 @@
     /// # Errors
     /// Returns a refusal when another request of this node has or had the key, or when too many keys are
     /// kept.
-    pub fn take(
+    pub fn reserve(
         &mut self,
         key: &RequestKey,
         request: RequestId,
         homes: Vec<GroupId>,
     ) -> Result<(), Refusal> {
         if let Some(own) = self.keys.get(key) {
-            return Err(own.refusal_of_repeat());
+            return Err(own.repeat_refusal());
         }
-        if self.keys.len() >= MOST_KEYS {
+        if self.keys.len() >= MAX_KEYS {
             return Err(Refusal::not_run(RefusalCode::Overloaded));
         }
         let own = OwnKey {
             request,
             homes: homes
                 .into_iter()
-                .map(|home| (home, HomeAnswer::Open))
+                .map(|home| (home, HomeAnswer::Pending))
                 .collect(),
             stage: Stage::Registering,
             rounds: 0,
@@ -108,7 +108,7 @@
     /// Records a home's answer and returns the combined verdict.
     pub fn answered(
         &mut self,
-        here: &NodeId,
+        own_node: &NodeId,
         key: &RequestKey,
         request: RequestId,
         home: &GroupId,
@@ -127,24 +127,24 @@
             KeyState::Owned => HomeAnswer::Owned,
             KeyState::Running { entry } => HomeAnswer::Running(entry),
             KeyState::Ended { outcome } => HomeAnswer::Ended(outcome),
-            KeyState::NotReady => HomeAnswer::Changing,
+            KeyState::NotReady => HomeAnswer::NotReady,
         };
-        self.settle(here, key)
+        self.evaluate(own_node, key)
     }
 
     /// Counts a round without a verdict and evaluates the answers again.
-    pub fn round(&mut self, here: &NodeId, key: &RequestKey) -> Verdict {
+    pub fn round(&mut self, own_node: &NodeId, key: &RequestKey) -> Verdict {
         if let Some(own) = self.keys.get_mut(key) {
             own.rounds += 1;
         }
-        self.settle(here, key)
+        self.evaluate(own_node, key)
     }
 
-    fn settle(&mut self, here: &NodeId, key: &RequestKey) -> Verdict {
+    fn evaluate(&mut self, own_node: &NodeId, key: &RequestKey) -> Verdict {
         let Some(own) = self.keys.get_mut(key) else {
             return Verdict::Wait;
         };
-        let verdict = own.verdict(here);
+        let verdict = own.verdict(own_node);
         if matches!(verdict, Verdict::Granted) {
             own.stage = Stage::Owned;
             self.registering.remove(key);
@@ -178,7 +178,7 @@
             };
             let answer = own.homes.iter_mut().find(|(known, _)| known == home);
             if let Some((_, answer)) = answer {
-                *answer = HomeAnswer::Open;
+                *answer = HomeAnswer::Pending;
                 open.push((key.clone(), own.request));
             }
         }
@@ -216,14 +216,14 @@
 
     /// The granted keys that a new holder of `home` needs. Requests that still wait for their key register
     /// again.
-    pub fn known(&self, here: &NodeId, home: &GroupId) -> Vec<KnownKey> {
+    pub fn known_keys(&self, own_node: &NodeId, home: &GroupId) -> Vec<KnownKey> {
         self.keys
             .iter()
             .filter(|(_, own)| own.stage != Stage::Registering)
             .filter(|(_, own)| own.homes.iter().any(|(known, _)| known == home))
             .map(|(key, own)| KnownKey {
                 key: key.clone(),
-                entry: here.clone(),
+                entry: own_node.clone(),
                 request: own.request,
                 outcome: match own.stage {
                     Stage::Ended { outcome, .. } => Some(outcome),
@@ -234,7 +234,7 @@
     }
 
     /// Removes keys that ended long ago.
-    pub fn forget_old(&mut self, now: Duration, memory: Duration) {
+    pub fn remove_expired(&mut self, now: Duration, memory: Duration) {
         while let Some((at, key)) = self.ended.front() {
             if now.saturating_sub(*at) < memory {
                 return;
@@ -249,7 +249,7 @@
 }
 
 impl OwnKey {
-    fn refusal_of_repeat(&self) -> Refusal {
+    fn repeat_refusal(&self) -> Refusal {
         match self.stage {
             Stage::Registering | Stage::Owned => in_progress(),
             Stage::Ended { outcome, .. } => already_ran(outcome),
@@ -257,27 +257,27 @@
     }
 
     /// Combines the answers; see the table in the documentation of [`crate::keys`].
-    fn verdict(&self, here: &NodeId) -> Verdict {
+    fn verdict(&self, own_node: &NodeId) -> Verdict {
         let mut owned = 0;
-        let mut open = 0;
-        let mut rival = None;
+        let mut pending = 0;
+        let mut competitor = None;
         for (_, answer) in &self.homes {
             match answer {
-                HomeAnswer::Open => open += 1,
+                HomeAnswer::Pending => pending += 1,
                 HomeAnswer::Owned => owned += 1,
-                HomeAnswer::Changing => (),
-                HomeAnswer::Running(entry) => rival = Some(entry),
+                HomeAnswer::NotReady => (),
+                HomeAnswer::Running(entry) => competitor = Some(entry),
                 HomeAnswer::Ended(outcome) => return Verdict::Denied(already_ran(*outcome)),
             }
         }
-        let patient = self.rounds < SPLIT_ROUNDS;
-        match rival {
-            Some(entry) if owned > 0 && here < entry && patient => Verdict::Wait,
+        let may_wait = self.rounds < SPLIT_WAIT_ROUNDS;
+        match competitor {
+            Some(entry) if owned > 0 && own_node < entry && may_wait => Verdict::Wait,
             // An earlier request of this node freed the key, and the home has not received that message yet.
-            Some(entry) if here == entry && patient => Verdict::Wait,
-            Some(_) if open > 0 && patient => Verdict::Wait,
+            Some(entry) if own_node == entry && may_wait => Verdict::Wait,
+            Some(_) if pending > 0 && may_wait => Verdict::Wait,
             Some(_) => Verdict::Denied(in_progress()),
-            None if owned > 0 && open == 0 => Verdict::Granted,
+            None if owned > 0 && pending == 0 => Verdict::Granted,
             None => Verdict::Wait,
         }
     }
--- a/crates/dragonflystep_core/src/stop/mod.rs
+++ b/crates/dragonflystep_core/src/stop/mod.rs
@@ -14,10 +14,10 @@
 };
 
 /// How often the node checks whether it can exit.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for the platform once no request is open. An expired lease and a claim that still says
 /// `claimed` can be left behind safely; a request can't.
-const PLATFORM_PATIENCE: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How far the planned stop of this node has come.
 #[derive(Debug, Default)]
@@ -51,8 +51,8 @@
         self.stage = Stage::Draining;
         context.view.stopping = true;
         context.signal(Signal::StopBegan);
-        self.tell_members(context);
-        context.start_timer(LOOK_EVERY, Timer::StopRound);
+        self.notify_members(context);
+        context.start_timer(POLL_INTERVAL, Timer::StopRound);
         context.log(LogLevel::Info, "stop began", Vec::new());
     }
 
@@ -72,11 +72,11 @@
         };
         if let Stage::Settling { since } = self.stage {
             let waited = context.now.saturating_sub(since);
-            if settled || waited >= PLATFORM_PATIENCE {
+            if settled || waited >= SETTLE_TIMEOUT {
                 return self.exit(context, settled);
             }
         }
-        context.start_timer(LOOK_EVERY, Timer::StopRound);
+        context.start_timer(POLL_INTERVAL, Timer::StopRound);
     }
 
     /// Tells a node that joins during the stop that this node is leaving.
@@ -84,8 +84,8 @@
         if let Signal::MemberJoined { node } = signal
             && context.view.stopping
         {
-            let here = context.view.node.id.clone();
-            context.send(node, Message::Leaving(here));
+            let own_node = context.view.node.id.clone();
+            context.send(node, Message::Leaving(own_node));
         }
     }
 
@@ -101,11 +101,11 @@
         context.effect(Effect::Exit);
     }
 
-    fn tell_members(&self, context: &mut Context<'_>) {
-        let here = context.view.node.id.clone();
+    fn notify_members(&self, context: &mut Context<'_>) {
+        let own_node = context.view.node.id.clone();
         let members: Vec<_> = context.view.members.keys().cloned().collect();
         for member in members {
-            context.send(&member, Message::Leaving(here.clone()));
+            context.send(&member, Message::Leaving(own_node.clone()));
         }
     }
 }
