--- a/crates/dragonflystep_core/src/claims/row.rs
+++ b/crates/dragonflystep_core/src/claims/row.rs
@@ -61,7 +61,7 @@
     /// Serializes the row as JSON.
     pub fn value(&self) -> Arc<str> {
         serde_json::to_string(self)
-            .expect("a claim has no map with keys other than text")
+            .expect("serializing a claim row can't fail: it contains no maps")
             .into()
     }
 
--- a/crates/dragonflystep_core/src/entry/placement.rs
+++ b/crates/dragonflystep_core/src/entry/placement.rs
@@ -200,7 +200,7 @@
         let service = self.services.get(&facts.service)?;
         service
             .ring
-            .from(leading_hash(facts))
+            .iter_from(leading_hash(facts))
             .take(MAX_CANDIDATES)
             .filter(|group| Some(*group) != avoid)
             .find(|group| inputs.groups.reachable_broker(inputs.view, group).is_some())
--- a/crates/dragonflystep_core/src/entry/ring.rs
+++ b/crates/dragonflystep_core/src/entry/ring.rs
@@ -27,7 +27,7 @@
     /// ```
     /// use dragonflystep_core::entry::GroupRing;
     /// let ring = GroupRing::new(["g-1".into(), "g-2".into()]);
-    /// assert_eq!(ring.from(7).count(), 2);
+    /// assert_eq!(ring.iter_from(7).count(), 2);
     /// ```
     pub fn new(groups: impl IntoIterator<Item = GroupId>) -> Self {
         let groups: BTreeSet<GroupId> = groups.into_iter().collect();
@@ -47,7 +47,7 @@
     }
 
     /// Iterates over each group once, in ring order starting at `hash`.
-    pub fn from(&self, hash: u64) -> impl Iterator<Item = &GroupId> {
+    pub fn iter_from(&self, hash: u64) -> impl Iterator<Item = &GroupId> {
         let start = self.points.partition_point(|(point, _)| *point < hash);
         let (before, after) = self.points.split_at(start);
         let mut seen = Vec::new();
--- a/crates/dragonflystep_core/src/keys/homes.rs
+++ b/crates/dragonflystep_core/src/keys/homes.rs
@@ -34,7 +34,7 @@
         let Some(ring) = self.rings.get(service) else {
             return Vec::new();
         };
-        ring.from(key_hash(key))
+        ring.iter_from(key_hash(key))
             .take(HOMES_OF_KEY)
             .cloned()
             .collect()
