--- a/crates/dragonflystep_core/src/entry/mod.rs
+++ b/crates/dragonflystep_core/src/entry/mod.rs
@@ -1,10 +1,10 @@
-//! Entry: the life of each request at the node that received it.
+//! Entry: tracks each request at the node that received it, from arrival to its final answer.
 //!
-//! A request waits for its key, its claim and a grant, is dispatched once, and ends with one final
-//! effect. See `phase.rs` for the phases; the other modules each handle one stretch of the way.
+//! A request waits for its key, its claim and a grant, is dispatched at most once, and ends with exactly one
+//! final effect. `phase.rs` defines the phases; each of the other modules handles one part of the life cycle.
 //!
-//! The driver tells what happened to a request in the order in which it happened and once, since both
-//! live in one process; messages of other nodes may come in any order, late, twice or never.
+//! The driver runs in the same process, so it reports each event of a request once and in order. Messages
+//! from other nodes may arrive in any order, late, more than once or never.
 
 mod asking;
 mod call;
@@ -22,12 +22,12 @@
 
 use {
     self::{
-        call::{Call, Caller, Gate},
+        call::{Call, Caller, Prerequisite},
         crashes::Crashes,
         ending::Ending,
         groups::Groups,
         phase::Phase,
-        placement::{Placement, Surroundings},
+        placement::{Placement, PlacementInputs},
     },
     crate::{
         context::{Context, Signal},
@@ -40,7 +40,7 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// State of this part.
+/// The open requests of this node, and what the node knows of groups, predicted waits and crashes.
 #[derive(Debug, Default)]
 pub struct Entry {
     calls: BTreeMap<RequestId, Call>,
@@ -50,12 +50,13 @@
 }
 
 impl Entry {
-    /// Starts the rounds.
+    /// Starts the timer of the periodic round.
     pub fn start(&mut self, context: &mut Context<'_>) {
         context.start_timer(context.view.tuning.round, Timer::EntryRound);
     }
 
-    /// Takes a request in.
+    /// Admits a new request, or refuses it when the node is stopping. A request id that is already open is
+    /// ignored.
     pub fn request_received(
         &mut self,
         context: &mut Context<'_>,
@@ -74,7 +75,7 @@
         self.advance(context, request, call);
     }
 
-    /// Gives up a request whose caller went away, unless it must run to its end.
+    /// Ends a request whose caller disconnected. A non-idempotent request that may have been sent runs on.
     pub fn caller_left(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
@@ -86,14 +87,15 @@
         } else if call.facts.idempotent {
             self.cancel(context, request, call, code);
         } else {
-            if call.caller == Caller::Waits {
+            if call.caller == Caller::Waiting {
                 call.caller = Caller::Left;
             }
             self.calls.insert(request, call);
         }
     }
 
-    /// Ends a request whose deadline passed; the caller is told at once.
+    /// Ends a request whose deadline passed. A non-idempotent request that may have been sent runs on, but
+    /// its caller gets the final answer now.
     pub fn deadline_passed(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(call) = self.calls.remove(&request) else {
             return;
@@ -107,27 +109,27 @@
         } else if call.facts.idempotent {
             self.cancel(context, request, call, code);
         } else {
-            self.tell_and_run_on(context, request, call, code);
+            self.answer_and_run_on(context, request, call, code);
         }
     }
 
-    /// Looks again at a waiting request.
+    /// Takes the next step of a request whose retry timer is due, depending on its phase.
     pub fn retry_due(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
         };
-        let due = call.wake_at.is_some_and(|at| at <= context.now);
+        let due = call.retry_at.is_some_and(|at| at <= context.now);
         if !due {
             self.calls.insert(request, call);
             return;
         }
-        call.wake_at = None;
+        call.retry_at = None;
         match &call.phase {
             Phase::Waiting => self.advance(context, request, call),
             Phase::Asking(_) | Phase::Withdrawing(_) => {
-                self.look_for_silence(context, request, call);
+                self.check_broker_timeout(context, request, call);
             }
-            Phase::Granted(_) => self.return_held(context, request, call),
+            Phase::Granted(_) => self.return_expiring(context, request, call),
             Phase::Resuming(_) => {
                 self.calls.insert(request, call);
                 self.resume_due(context, request);
@@ -138,20 +140,20 @@
         }
     }
 
-    /// Reports held grants and forgets what is out of date.
+    /// Reports held grants to the brokers and removes expired load summaries and crash records.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         context.start_timer(context.view.tuning.round, Timer::EntryRound);
         self.report_holdings(context);
-        self.placement.forget_old(context.now);
-        self.crashes.forget_old(context.now);
+        self.placement.remove_expired(context.now);
+        self.crashes.remove_expired(context.now);
     }
 
-    /// Handles what happened between this node and an upstream.
+    /// Handles an event of a connection to an upstream.
     pub fn upstream_event(&mut self, context: &mut Context<'_>, event: &UpstreamEvent) {
         self.request_event(context, event);
     }
 
-    /// Handles a message of a broker.
+    /// Handles a message from a broker.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::Queued(queued) => self.queued(context, from, &queued),
@@ -159,38 +161,38 @@
             Message::AskRefused(refused) => self.refused(context, from, refused),
             Message::Withdrawn(name) => self.withdrawn(context, &name),
             Message::CancelGrant(name) => self.cancel_grant(context, from, &name),
-            Message::Summary(summary) => self.summarized(context, from, summary),
+            Message::Summary(summary) => self.summary_received(context, from, summary),
             _ => (),
         }
     }
 
-    /// Tells a new broker what runs, and forgets dead grants.
+    /// Re-registers running requests with a new broker and drops grants of older epochs.
     pub fn reregister(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
         reregister: &Reregister,
     ) {
-        self.tell_new_broker(context, from, reregister);
+        self.report_to_new_broker(context, from, reregister);
     }
 
-    /// Moves asks away from a lost node.
+    /// Withdraws from a lost node: the asks that were pending there are sent to other brokers.
     pub fn peer_lost(&mut self, context: &mut Context<'_>, node: &NodeId) {
         self.groups.forget_broker(node);
         for call in self.calls.values_mut() {
-            call.avoid_broker(node);
+            call.avoid_group_of(node);
         }
-        self.ask_again_where(context, |ask| ask.broker == *node);
+        self.ask_again_if(context, |ask| ask.broker == *node);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::KeyGranted { request } => {
-                self.open_gate(context, *request, |call| call.key = Gate::Open);
+                self.prerequisite_met(context, *request, |call| call.key = Prerequisite::Met);
             }
             Signal::ClaimGranted { request } => {
-                self.open_gate(context, *request, |call| call.claim = Gate::Open);
+                self.prerequisite_met(context, *request, |call| call.claim = Prerequisite::Met);
             }
             Signal::KeyDenied { request, refusal } | Signal::ClaimDenied { request, refusal } => {
                 self.denied(context, *request, refusal);
@@ -200,7 +202,7 @@
             }
             Signal::HolderChanged { group } => {
                 let broker = self.groups.broker(context.view, group);
-                self.ask_again_where(context, |ask| {
+                self.ask_again_if(context, |ask| {
                     ask.name.group == *group && Some(&ask.broker) != broker.as_ref()
                 });
             }
@@ -209,19 +211,22 @@
         }
     }
 
-    /// Number of requests that have no final answer yet, or run on.
+    /// Number of requests that have no final answer yet or still run after their caller was answered.
     pub fn open_requests(&self) -> usize {
         self.calls.len()
     }
 
-    fn summarized(&mut self, context: &Context<'_>, from: &NodeId, summary: Summary) {
-        if self.groups.note_epoch(&summary.group, summary.epoch, from) {
+    fn summary_received(&mut self, context: &Context<'_>, from: &NodeId, summary: Summary) {
+        if self
+            .groups
+            .record_epoch(&summary.group, summary.epoch, from)
+        {
             self.placement
-                .note_summary(context.view, context.now, summary);
+                .record_summary(context.view, context.now, summary);
         }
     }
 
-    fn open_gate(
+    fn prerequisite_met(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
@@ -231,19 +236,20 @@
             return;
         };
         open(&mut call);
-        self.want_claim(context, request, &mut call);
+        self.request_claim(context, request, &mut call);
         self.advance(context, request, call);
     }
 
-    /// Wants the claim once the key is owned, so that two entries don't deny each other with one half each.
-    fn want_claim(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
-        if call.key != Gate::Open || call.claim != Gate::Closed {
+    /// Requests the claim only once the key is owned. Otherwise two entries could each get one of the two and
+    /// deny each other.
+    fn request_claim(&mut self, context: &mut Context<'_>, request: RequestId, call: &mut Call) {
+        if call.key != Prerequisite::Met || call.claim != Prerequisite::NotRequested {
             return;
         }
         let Some(key) = call.facts.key.clone() else {
             return;
         };
-        call.claim = Gate::Wanted;
+        call.claim = Prerequisite::Requested;
         context.signal(Signal::ClaimWanted { request, key });
     }
 
@@ -259,11 +265,11 @@
     }
 
     fn least_wait(&self, context: &Context<'_>, call: &Call) -> Option<Duration> {
-        let around = Surroundings {
+        let inputs = PlacementInputs {
             view: context.view,
             groups: &self.groups,
             now: context.now,
         };
-        self.placement.least_wait(&around, &call.facts)
+        self.placement.least_wait(&inputs, &call.facts)
     }
 }
--- a/crates/dragonflystep_core/src/entry/rounds.rs
+++ b/crates/dragonflystep_core/src/entry/rounds.rs
@@ -1,4 +1,4 @@
-//! Reports of held grants, and what a new broker is told.
+//! Reports held grants to brokers, both periodically and to a new broker.
 
 use {
     super::{Entry, call::Call, phase::Phase},
@@ -11,7 +11,7 @@
 };
 
 impl Entry {
-    /// Reports all held grants of each group that has some, one message a group.
+    /// Sends each group's broker one report of all grants that this node holds.
     pub(super) fn report_holdings(&mut self, context: &mut Context<'_>) {
         for group in self.groups.reports_due() {
             if let Some(broker) = self.groups.broker(context.view, &group) {
@@ -40,35 +40,35 @@
         context.send(broker, Message::Holding(holding));
     }
 
-    /// Tells a new broker what runs, drops grants that died with the old one, and asks again.
-    pub(super) fn tell_new_broker(
+    /// Reports running requests to a new broker, drops unused grants of older epochs, and asks again.
+    pub(super) fn report_to_new_broker(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
         reregister: &Reregister,
     ) {
         let group = &reregister.group;
-        if !self.groups.note_epoch(group, reregister.epoch, from) {
+        if !self.groups.record_epoch(group, reregister.epoch, from) {
             return;
         }
-        let dead = self.drop_dead_grants(group, reregister);
+        let stale = self.drop_stale_grants(group, reregister);
         self.report_holding(context, group, from);
-        for request in dead {
+        for request in stale {
             if let Some(call) = self.calls.remove(&request) {
                 self.advance(context, request, call);
             }
         }
-        self.ask_again_where(context, |ask| {
+        self.ask_again_if(context, |ask| {
             ask.name.group == *group && ask.broker != *from
         });
     }
 
-    /// Forgets unused grants of older epochs; nothing is returned, since their broker is no more.
-    fn drop_dead_grants(&mut self, group: &GroupId, reregister: &Reregister) -> Vec<RequestId> {
+    /// Drops unused grants of older epochs. They are not returned, since their broker has been replaced.
+    fn drop_stale_grants(&mut self, group: &GroupId, reregister: &Reregister) -> Vec<RequestId> {
         let Some(record) = self.groups.get(group) else {
             return Vec::new();
         };
-        let dead: Vec<RequestId> = record
+        let stale: Vec<RequestId> = record
             .requests
             .iter()
             .filter(|request| {
@@ -79,13 +79,13 @@
             })
             .copied()
             .collect();
-        for request in &dead {
-            self.groups.let_go(group, *request);
+        for request in &stale {
+            self.groups.release(group, *request);
             if let Some(call) = self.calls.get_mut(request) {
                 call.phase = Phase::Waiting;
             }
         }
-        dead
+        stale
     }
 }
 
--- a/crates/dragonflystep_core/src/entry/streaming.rs
+++ b/crates/dragonflystep_core/src/entry/streaming.rs
@@ -1,4 +1,4 @@
-//! Dispatched requests: their progress, breaks and ends.
+//! Handles dispatched requests: progress, broken streams, resumption and the end of the stream.
 
 use {
     super::{
@@ -19,38 +19,38 @@
     std::time::Duration,
 };
 
-/// Tries to take up a broken stream without any new token between them.
-const MOST_RESUMES: u32 = 6;
-/// Time before the second try; doubled for each further one.
+/// Most attempts to resume a broken stream without a new token in between.
+const MAX_RESUME_ATTEMPTS: u32 = 6;
+/// Delay before the second attempt; doubled for each further one.
 const RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
 impl Entry {
-    /// Handles what happened to a request that may be on its way.
+    /// Handles an event of a request that may have been dispatched.
     pub(super) fn request_event(&mut self, context: &mut Context<'_>, event: &UpstreamEvent) {
         match *event {
             UpstreamEvent::DispatchExpired { request } => self.not_sent(context, request, false),
             UpstreamEvent::ConnectFailed { request } => self.not_sent(context, request, true),
             UpstreamEvent::Dispatched { request } => {
-                self.with_stream(context, request, |_, _| {});
+                self.update_stream(context, request, |_, _| {});
             }
             UpstreamEvent::FirstTokenArrived { request } => {
-                self.with_stream(context, request, |now, stream| stream.first_token(now));
+                self.update_stream(context, request, |now, stream| stream.first_token(now));
             }
             UpstreamEvent::TokensArrived { request, tokens } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
             }
             UpstreamEvent::AnswerCompleted {
                 request,
                 tokens,
                 cached_tokens,
             } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
                 self.end_stream(context, request, &Ending::Answered { cached_tokens });
             }
             UpstreamEvent::AnswerRejected {
                 request, not_run, ..
             } => {
-                self.with_stream(context, request, |_, _| {});
+                self.update_stream(context, request, |_, _| {});
                 self.end_stream(context, request, &Ending::Rejected { not_run });
             }
             UpstreamEvent::StreamBroken {
@@ -58,7 +58,7 @@
                 tokens,
                 silent,
             } => {
-                self.with_stream(context, request, |now, stream| stream.progress(now, tokens));
+                self.update_stream(context, request, |now, stream| stream.progress(now, tokens));
                 self.stream_broke(context, request, silent);
             }
             UpstreamEvent::ResumeFailed { request, gone } => {
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Notes something on a request's stream; any sign of it shows that the request was dispatched.
-    fn with_stream(
+    /// Updates a request's stream. Any event of the stream proves that the request was dispatched.
+    fn update_stream(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
-        note: impl FnOnce(Duration, &mut Stream),
+        update: impl FnOnce(Duration, &mut Stream),
     ) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
@@ -84,23 +84,24 @@
         let now = context.now;
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
         call.phase = match phase {
-            Phase::Dispatching(departing) => {
-                let mut stream = departing.sent(now);
+            Phase::Dispatching(dispatching) => {
+                let mut stream = dispatching.sent(now);
                 context.send(
                     &stream.grant.broker,
                     Message::Started(stream.grant.name.clone()),
                 );
-                self.crashes.boarded(now, &stream.grant.upstream, request);
-                note(now, &mut stream);
+                self.crashes
+                    .dispatched(now, &stream.grant.upstream, request);
+                update(now, &mut stream);
                 Phase::Running(stream)
             }
             Phase::Running(mut stream) => {
-                note(now, &mut stream);
+                update(now, &mut stream);
                 Phase::Running(stream)
             }
             Phase::Resuming(mut stream) => {
                 let tokens = stream.tokens;
-                note(now, &mut stream);
+                update(now, &mut stream);
                 if stream.tokens > tokens {
                     self.crashes.recovered(&stream.grant.upstream, request);
                     Phase::Running(stream)
@@ -112,7 +113,7 @@
         };
     }
 
-    /// Ends a request whose stream has ended; others are left alone.
+    /// Ends a request that has a stream; a request without one is left unchanged.
     fn end_stream(&mut self, context: &mut Context<'_>, request: RequestId, ending: &Ending) {
         let Some(call) = self.calls.remove(&request) else {
             return;
@@ -133,7 +134,8 @@
         };
         let (upstream, resumable) = (stream.grant.upstream.clone(), can_resume(stream));
         if !silent {
-            self.crashes.broke(context.now, &upstream, request, call);
+            self.crashes
+                .stream_broke(context.now, &upstream, request, call);
             self.report_crash(context, &upstream, request, !resumable);
         }
         if resumable {
@@ -144,7 +146,7 @@
         } else {
             RefusalCode::UpstreamFailed
         };
-        self.give_stream_up(context, request, code);
+        self.abandon_stream(context, request, code);
     }
 
     fn resume_failed(&mut self, context: &mut Context<'_>, request: RequestId, gone: bool) {
@@ -158,12 +160,13 @@
         if !gone && can_resume(stream) {
             return self.resume(context, request);
         }
-        self.crashes.broke(context.now, &upstream, request, call);
+        self.crashes
+            .stream_broke(context.now, &upstream, request, call);
         self.report_crash(context, &upstream, request, true);
-        self.give_stream_up(context, request, RefusalCode::UpstreamFailed);
+        self.abandon_stream(context, request, RefusalCode::UpstreamFailed);
     }
 
-    /// Tries to take the stream up at the same upstream: at once, then after growing pauses.
+    /// Resumes the stream at the same upstream: at once, and then after exponentially growing delays.
     fn resume(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(mut call) = self.calls.remove(&request) else {
             return;
@@ -171,13 +174,14 @@
         let phase = std::mem::replace(&mut call.phase, Phase::Waiting);
         call.phase = match phase {
             Phase::Running(mut stream) | Phase::Resuming(mut stream) => {
-                stream.resumes += 1;
-                if stream.resumes == 1 {
+                stream.resume_attempts += 1;
+                if stream.resume_attempts == 1 {
                     context.effect(resume_effect(request, &stream));
                 } else {
-                    let pause = RESUME_BACKOFF * (1 << (stream.resumes - 2).min(MOST_RESUMES));
+                    let pause = RESUME_BACKOFF
+                        * (1 << (stream.resume_attempts - 2).min(MAX_RESUME_ATTEMPTS));
                     stream.resume_at = Some(context.now + pause);
-                    call.wake(context, request, pause);
+                    call.schedule_retry(context, request, pause);
                 }
                 Phase::Resuming(stream)
             }
@@ -186,7 +190,7 @@
         self.calls.insert(request, call);
     }
 
-    /// Makes the try to resume that was put off.
+    /// Makes a delayed attempt to resume whose time has come.
     pub(super) fn resume_due(&mut self, context: &mut Context<'_>, request: RequestId) {
         let Some(call) = self.calls.get_mut(&request) else {
             return;
@@ -200,7 +204,7 @@
         }
     }
 
-    fn give_stream_up(&mut self, context: &mut Context<'_>, request: RequestId, code: RefusalCode) {
+    fn abandon_stream(&mut self, context: &mut Context<'_>, request: RequestId, code: RefusalCode) {
         let Some(call) = self.calls.remove(&request) else {
             return;
         };
@@ -209,12 +213,12 @@
             context,
             request,
             call,
-            &Ending::GivenUp(refusal, Outcome::Failed),
+            &Ending::Abandoned(refusal, Outcome::Failed),
         );
     }
 }
 
-/// What can be said of a request that may have been dispatched: tokens prove that it ran.
+/// Whether a request that may have been dispatched ran: received tokens prove that it did.
 pub(super) fn ran_so_far(call: &Call) -> Ran {
     match call.stream() {
         Some(stream) if stream.tokens > 0 => Ran::Yes,
@@ -223,7 +227,7 @@
 }
 
 fn can_resume(stream: &Stream) -> bool {
-    stream.kind == ServiceKind::Engine && stream.resumes < MOST_RESUMES
+    stream.kind == ServiceKind::Engine && stream.resume_attempts < MAX_RESUME_ATTEMPTS
 }
 
 fn resume_effect(request: RequestId, stream: &Stream) -> Effect {
--- a/crates/dragonflystep_core/src/keys/home.rs
+++ b/crates/dragonflystep_core/src/keys/home.rs
@@ -1,4 +1,4 @@
-//! What a node keeps as the home of keys.
+//! The key records that a node keeps for the homes it holds.
 
 use {
     crate::{
@@ -13,33 +13,35 @@
     },
 };
 
-/// How long a new home waits for what nodes know that are thought to be unreachable; for the others it
-/// waits until they told it.
-const UNREACHABLE_PATIENCE: Duration = Duration::from_secs(3);
-/// Most keys that one node keeps as a home; a new key beyond it is put off, none is forgotten for it.
-const MOST_RECORDS: usize = 50_000;
-/// A key whose end was never told is forgotten after this many times the memory of an ended one.
-const RUNNING_MEMORY_FACTOR: u32 = 6;
+/// How long a new home waits for the records of nodes that are suspected to be unreachable. It waits for all
+/// other nodes until they have sent theirs.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Most key records that one node keeps as a home. Beyond that it does not take in new keys; it never evicts
+/// a record to make space.
+const MAX_RECORDS: usize = 50_000;
+/// A key whose end was never reported is removed after this multiple of the time for which an ended key is
+/// kept.
+const UNENDED_MEMORY_FACTOR: u32 = 6;
 
-/// All homes that this node holds, or held until a new holder asks for what they knew.
+/// The homes that this node holds, and former ones whose new holder has not asked for their records yet.
 #[derive(Debug, Default)]
-pub(super) struct HomeKeys {
+pub(super) struct HeldHomes {
     homes: BTreeMap<GroupId, Home>,
     ended: VecDeque<(Duration, GroupId, RequestKey)>,
     registered: VecDeque<(Duration, GroupId, RequestKey)>,
     record_count: usize,
 }
 
-/// One home.
+/// The key records of one home, and the nodes that still have to send theirs.
 #[derive(Debug)]
 struct Home {
     epoch: Epoch,
     since: Duration,
-    unheard: BTreeSet<NodeId>,
+    awaiting_refill: BTreeSet<NodeId>,
     records: BTreeMap<RequestKey, Record>,
 }
 
-/// What is known of one key.
+/// What a home knows of one key.
 #[derive(Clone, Debug)]
 struct Record {
     entry: NodeId,
@@ -47,36 +49,38 @@
     incarnation: Option<Incarnation>,
     at: Duration,
     outcome: Option<Outcome>,
-    /// Not vouched for by its entry, nor taken in by a home that knew what the other nodes know.
+    /// Whether the record was neither confirmed by the entry that owns the key nor taken in by a home that
+    /// was ready.
     tentative: bool,
 }
 
 impl Home {
-    /// Whether every node told what it knows, but for those that are gone or have long been unreachable.
+    /// Whether every node has sent its records, except nodes that are gone or were suspected when the timeout
+    /// passed.
     fn is_ready(&self, view: &View, now: Duration) -> bool {
-        let patient = now.saturating_sub(self.since) < UNREACHABLE_PATIENCE;
-        self.unheard
+        let within_timeout = now.saturating_sub(self.since) < UNREACHABLE_TIMEOUT;
+        self.awaiting_refill
             .iter()
             .filter_map(|node| view.members.get(node))
-            .all(|member| member.suspected && !patient)
+            .all(|member| member.suspected && !within_timeout)
     }
 }
 
-impl HomeKeys {
-    /// Begins a term as the holder of a home; what an earlier term left is kept.
+impl HeldHomes {
+    /// Starts a term as the holder of a home. Records of an earlier term are kept.
     pub fn begin(&mut self, view: &View, now: Duration, group: &GroupId, epoch: Epoch) {
-        let unheard = view.members.keys().cloned().collect();
+        let awaiting_refill = view.members.keys().cloned().collect();
         let records = self.homes.remove(group).map(|home| home.records);
         let home = Home {
             epoch,
             since: now,
-            unheard,
+            awaiting_refill,
             records: records.unwrap_or_default(),
         };
         self.homes.insert(group.clone(), home);
     }
 
-    /// Answers an entry that wants to own a key; the first that comes owns it.
+    /// Answers an entry that wants to own a key. The first entry to register owns it.
     pub fn register(
         &mut self,
         context: &Context<'_>,
@@ -96,14 +100,14 @@
         }
     }
 
-    /// The epoch of the home, while the node's lease for it lasts.
+    /// The epoch of the home, while this node's lease for it is valid.
     fn granting_epoch(&self, context: &Context<'_>, group: &GroupId) -> Option<Epoch> {
         let epoch = context.view.granting_epoch(group, context.now)?;
         let home = self.homes.get(group)?;
         (home.epoch == epoch).then_some(epoch)
     }
 
-    /// What is known of the key; none when this home can't take it in.
+    /// State of the key after this registration; `None` when the home has no space for a new key.
     fn state_for(
         &mut self,
         context: &Context<'_>,
@@ -114,7 +118,7 @@
         let home = self.homes.get_mut(&register.home)?;
         let ready = home.is_ready(context.view, now);
         let Some(record) = home.records.get(&register.key) else {
-            if self.record_count >= MOST_RECORDS {
+            if self.record_count >= MAX_RECORDS {
                 return None;
             }
             let record = Record {
@@ -126,20 +130,20 @@
                 tentative: !ready,
             };
             self.insert(&register.home, register.key.clone(), record);
-            return Some(owned(ready));
+            return Some(owned_if_ready(ready));
         };
         if let Some(outcome) = record.outcome {
             return Some(KeyState::Ended { outcome });
         }
         if record.entry == *from && record.request == register.request {
-            return Some(owned(ready));
+            return Some(owned_if_ready(ready));
         }
         Some(KeyState::Running {
             entry: record.entry.clone(),
         })
     }
 
-    /// Notes the end of a request, or frees the key of one that was never dispatched.
+    /// Records the end of a request, or frees the key of a request that was never dispatched.
     pub fn ended(&mut self, now: Duration, from: &NodeId, ended: KeyEnded) {
         let Some(home) = self.homes.get_mut(&ended.home) else {
             return;
@@ -170,11 +174,12 @@
         }
     }
 
-    /// Takes in what a node knows of a home's keys.
+    /// Merges the records that another node sent for the keys of a home.
     ///
-    /// An entry vouches for the keys that its own requests were granted, and an end is an end. What a home
-    /// tells of others may be the claim of a request that was never granted the key; it only fills gaps,
-    /// since a registration here may have been the second half of a grant.
+    /// An entry is authoritative for the keys that its own requests were granted, and the end of a request is
+    /// final. What a home reports of other entries may be the registration of a request that was never
+    /// granted the key. Such a record only fills gaps, since a registration here may have been the second
+    /// half of a grant.
     pub fn refill(
         &mut self,
         now: Duration,
@@ -189,14 +194,14 @@
         if home.epoch != epoch {
             return;
         }
-        home.unheard.remove(from);
+        home.awaiting_refill.remove(from);
         for known in keys {
-            let vouched = known.entry == *from || known.outcome.is_some();
-            self.refill_one(now, group, known, vouched);
+            let authoritative = known.entry == *from || known.outcome.is_some();
+            self.refill_key(now, group, known, authoritative);
         }
     }
 
-    fn refill_one(&mut self, now: Duration, group: &GroupId, known: KnownKey, vouched: bool) {
+    fn refill_key(&mut self, now: Duration, group: &GroupId, known: KnownKey, authoritative: bool) {
         let present = self
             .homes
             .get(group)
@@ -204,7 +209,7 @@
         let replaces = match present {
             None => true,
             Some(record) if record.outcome.is_some() => false,
-            Some(record) => (record.tentative && vouched) || known.outcome.is_some(),
+            Some(record) => (record.tentative && authoritative) || known.outcome.is_some(),
         };
         if !replaces {
             return;
@@ -215,39 +220,40 @@
             incarnation: None,
             at: now,
             outcome: known.outcome,
-            tentative: !vouched,
+            tentative: !authoritative,
         };
         self.insert(group, known.key, record);
     }
 
-    /// Nodes that have not told yet what they know, for each home with its epoch.
-    pub fn unheard(&self, context: &Context<'_>) -> Vec<(GroupId, Epoch, Vec<NodeId>)> {
-        let mut unheard = Vec::new();
+    /// Nodes that have not sent their records yet, for each held home with its epoch.
+    pub fn awaiting_refill(&self, context: &Context<'_>) -> Vec<(GroupId, Epoch, Vec<NodeId>)> {
+        let mut awaiting_refill = Vec::new();
         for (group, home) in &self.homes {
             let held = self.granting_epoch(context, group).is_some();
-            if held && !home.unheard.is_empty() {
-                let nodes = home.unheard.iter().cloned().collect();
-                unheard.push((group.clone(), home.epoch, nodes));
+            if held && !home.awaiting_refill.is_empty() {
+                let nodes = home.awaiting_refill.iter().cloned().collect();
+                awaiting_refill.push((group.clone(), home.epoch, nodes));
             }
         }
-        unheard
+        awaiting_refill
     }
 
-    /// What the homes on this node know of the keys of `wanted`; `share` says whether a key that is kept
-    /// at a home also lives at `wanted`.
+    /// The records of this node's homes for the keys of `wanted`; `shares_home` says whether a key that is kept at
+    /// a home also belongs to `wanted`.
     ///
-    /// Registrations of this node's own requests are left out: the node would seem to vouch for them.
-    pub fn known(
+    /// Registrations of this node's own requests are left out, since the receiver would take this node as
+    /// authoritative for them.
+    pub fn known_keys(
         &self,
-        here: &NodeId,
+        own_node: &NodeId,
         wanted: &GroupId,
-        mut share: impl FnMut(&RequestKey, &GroupId) -> bool,
+        mut shares_home: impl FnMut(&RequestKey, &GroupId) -> bool,
     ) -> Vec<KnownKey> {
         let mut known = Vec::new();
         for (group, home) in &self.homes {
             for (key, record) in &home.records {
-                let foreign = record.entry != *here || record.outcome.is_some();
-                if foreign && (group == wanted || share(key, group)) {
+                let foreign = record.entry != *own_node || record.outcome.is_some();
+                if foreign && (group == wanted || shares_home(key, group)) {
                     known.push(KnownKey {
                         key: key.clone(),
                         entry: record.entry.clone(),
@@ -260,8 +266,8 @@
         known
     }
 
-    /// Forgets a home whose new holder was told what it knew.
-    pub fn hand_over(&mut self, group: &GroupId, new_epoch: Epoch) {
+    /// Drops the records of a home after they were sent to its new holder.
+    pub fn drop_handed_over(&mut self, group: &GroupId, new_epoch: Epoch) {
         if self
             .homes
             .get(group)
@@ -272,10 +278,10 @@
         }
     }
 
-    /// Notes that an entry is gone: what it ran has ended, and nobody can tell how.
+    /// Marks the open requests of a lost entry as failed, since nobody can tell how they ended.
     pub fn entry_gone(&mut self, now: Duration, node: &NodeId, incarnation: Incarnation) {
         for (group, home) in &mut self.homes {
-            home.unheard.remove(node);
+            home.awaiting_refill.remove(node);
             for (key, record) in &mut home.records {
                 let theirs = record.entry == *node
                     && record.incarnation.is_none_or(|known| known == incarnation);
@@ -288,10 +294,10 @@
         }
     }
 
-    /// Forgets keys that ended long ago.
-    pub fn forget_old(&mut self, now: Duration, memory: Duration) {
+    /// Removes keys that ended long ago, or whose end was never reported.
+    pub fn remove_expired(&mut self, now: Duration, memory: Duration) {
         let ended = pop_older(&mut self.ended, now, memory);
-        let lost = pop_older(&mut self.registered, now, memory * RUNNING_MEMORY_FACTOR);
+        let lost = pop_older(&mut self.registered, now, memory * UNENDED_MEMORY_FACTOR);
         for (at, group, key) in ended.into_iter().chain(lost) {
             let Some(home) = self.homes.get_mut(&group) else {
                 continue;
@@ -318,8 +324,8 @@
     }
 }
 
-/// A home that does not know yet what the other nodes know takes the key in, but can't vouch for it.
-fn owned(ready: bool) -> KeyState {
+/// A home that is not ready records the key but can't confirm the ownership.
+fn owned_if_ready(ready: bool) -> KeyState {
     match ready {
         true => KeyState::Owned,
         false => KeyState::NotReady,
--- a/crates/dragonflystep_core/src/keys/mod.rs
+++ b/crates/dragonflystep_core/src/keys/mod.rs
@@ -1,33 +1,34 @@
-//! Keys: a request that comes again under the same key is not dispatched again.
+//! Keys: a request that is repeated under the same key is not dispatched again.
 //!
-//! Each key has two homes, groups of its service; the nodes that hold them remember who has the key.
-//! The entry registers the key with both in parallel, and each home gives it to the first that comes.
+//! Each key has two homes, which are groups of its service; the nodes that hold these groups record which
+//! request owns the key. The entry registers the key with both homes in parallel, and each home gives it to
+//! the first request that registers.
 //!
 //! | answers of the two homes | verdict |
 //! | --- | --- |
 //! | both owned | granted |
-//! | owned, and a home that has just changed hands | granted |
+//! | owned, and a home that is not ready after a change of its holder | granted |
 //! | one says that a request with the key ended | denied, already ran |
 //! | owned, running elsewhere | the entry that is first by name waits for the other to give up |
 //! | running elsewhere | denied, in progress |
 //! | no home owned | wait, up to the deadline |
 //!
-//! A home that merely can't be reached counts as not answered: a request with a key then waits, and is
-//! refused as not run at its deadline. A home that has just changed hands takes keys in from the first
-//! moment, so that it knows them once the other home is lost too, but vouches for none before every
-//! node told it what it knows; nodes that are gone, or were unreachable for a few seconds, are not waited for.
+//! An unreachable home counts as one that has not answered: a request with a key then waits, and is refused
+//! as not run at its deadline. A home with a new holder records keys at once, so that it knows them if the
+//! other home is lost too. It confirms none until every node has sent its records; nodes that are gone, or
+//! have been unreachable for a few seconds, are not waited for.
 //!
-//! # What could double a dispatch
+//! # What can cause a second dispatch
 //!
-//! Within the memory of the key, a repeat through another entry is dispatched again only when
-//! - both homes are lost at the same time, and the first entry is dead or
-//!   is cut off from both new homes for longer than they wait for an unreachable node; or
-//! - the first entry dies, and then both homes are lost one after the other, where the second goes before
-//!   the first one's successor was told what the second knew; or
-//! - two changes of the service's groups are in force at one entry and not at the other, so that their
-//!   sets of homes have none in common. One change leaves at least one home in common.
+//! While a key is remembered, a repeat through another entry is dispatched again only when
+//! - both homes are lost at the same time, and the first entry is dead or is cut off from both new homes for
+//!   longer than they wait for an unreachable node; or
+//! - the first entry dies, and then both homes are lost one after the other, the second one before the
+//!   successor of the first has received the records of the second; or
+//! - two changes of the service's groups are in force at one entry and not at the other, so that their sets
+//!   of homes are disjoint. After one change they still have at least one home in common.
 //!
-//! Non-idempotent requests have a durable claim besides, which none of these losses touches.
+//! Non-idempotent requests also have a durable claim, which none of these losses affects.
 
 mod home;
 mod homes;
@@ -35,8 +36,8 @@
 
 use {
     self::{
-        home::HomeKeys,
-        homes::HomeIndex,
+        home::HeldHomes,
+        homes::HomeRings,
         own::{OwnKeys, Verdict},
     },
     crate::{
@@ -48,16 +49,17 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// When the end of a request is told to its homes again; a lost message would block the key.
-const TELL_AGAIN_AFTER: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
+/// Delays after which the end of a request is sent to its homes again, since a lost message would block the
+/// key.
+const END_RESEND_DELAYS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(10)];
 
-/// State of this part.
+/// The keys of this node's own requests, and the records of the homes that it holds.
 #[derive(Debug, Default)]
 pub struct Keys {
-    index: HomeIndex,
+    index: HomeRings,
     own: OwnKeys,
-    home: HomeKeys,
-    tell_again: [VecDeque<(Duration, KeyEnded)>; 2],
+    held_homes: HeldHomes,
+    pending_resends: [VecDeque<(Duration, KeyEnded)>; 2],
 }
 
 impl Keys {
@@ -65,20 +67,21 @@
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::KeyRegister(register) => {
-                let answer = self.home.register(context, from, register);
+                let answer = self.held_homes.register(context, from, register);
                 context.send(from, Message::KeyAnswer(answer));
             }
             Message::KeyAnswer(answer) => self.answered(context, answer),
-            Message::KeyEnded(ended) => self.home.ended(context.now, from, ended),
+            Message::KeyEnded(ended) => self.held_homes.ended(context.now, from, ended),
             Message::KeyRefill(refill) => {
                 let KeyRefill { home, epoch, keys } = refill;
-                self.home.refill(context.now, from, &home, epoch, keys);
+                self.held_homes
+                    .refill(context.now, from, &home, epoch, keys);
             }
             _ => (),
         }
     }
 
-    /// Tells a new home the keys that this node knows, and registers waiting ones there.
+    /// Sends a home's new holder the keys that this node knows, and registers waiting requests there again.
     pub fn home_changed(
         &mut self,
         context: &mut Context<'_>,
@@ -93,28 +96,29 @@
         let refill = KeyRefill {
             home: group.clone(),
             epoch: reregister.epoch,
-            keys: self.known(context, group),
+            keys: self.known_keys(context, group),
         };
         context.send(from, Message::KeyRefill(refill));
-        self.home.hand_over(group, reregister.epoch);
+        self.held_homes.drop_handed_over(group, reregister.epoch);
         for (key, request) in self.own.home_changed(group) {
             register_at(context, from, group, key, request);
         }
     }
 
-    /// Asks silent homes again, tells ends again and forgets old keys.
+    /// Registers again with homes that have not confirmed, repeats announcements and ends, and removes old
+    /// keys.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         for key in self.own.registering() {
             self.register_again(context, &key);
         }
-        self.ask_unheard(context);
-        self.tell_ends_again(context);
+        self.announce_again(context);
+        self.resend_ends(context);
         let memory = context.view.tuning.key_memory;
-        self.own.forget_old(context.now, memory);
-        self.home.forget_old(context.now, memory);
+        self.own.remove_expired(context.now, memory);
+        self.held_homes.remove_expired(context.now, memory);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the core.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::KeyWanted {
@@ -130,7 +134,7 @@
             Signal::LeaseAcquired { group, epoch } => self.home_acquired(context, group, *epoch),
             Signal::HolderChanged { group } => self.holder_changed(context, group),
             Signal::MemberGone { node, incarnation } => {
-                self.home.entry_gone(context.now, node, *incarnation);
+                self.held_homes.entry_gone(context.now, node, *incarnation);
             }
             _ => (),
         }
@@ -147,7 +151,7 @@
         if self.own.get(key, request).is_some() {
             return;
         }
-        match self.own.take(key, request, homes.clone()) {
+        match self.own.reserve(key, request, homes.clone()) {
             Ok(()) => {
                 for home in &homes {
                     register(context, home, key, request);
@@ -163,15 +167,15 @@
         if answer.epoch == 0 || old {
             return;
         }
-        let here = &context.view.node.id;
+        let own_node = &context.view.node.id;
         let verdict = self.own.answered(
-            here,
+            own_node,
             &answer.key,
             answer.request,
             &answer.home,
             answer.state,
         );
-        pronounce(context, answer.request, verdict);
+        signal_verdict(context, answer.request, verdict);
     }
 
     fn register_again(&mut self, context: &mut Context<'_>, key: &RequestKey) {
@@ -184,7 +188,7 @@
                 register(context, home, key, request);
             }
         }
-        pronounce(context, request, verdict);
+        signal_verdict(context, request, verdict);
     }
 
     fn ended(
@@ -201,17 +205,17 @@
                 request,
                 outcome,
             };
-            for (queue, after) in self.tell_again.iter_mut().zip(TELL_AGAIN_AFTER) {
+            for (queue, after) in self.pending_resends.iter_mut().zip(END_RESEND_DELAYS) {
                 queue.push_back((context.now + after, ended.clone()));
             }
-            tell_end(context, ended);
+            send_end(context, ended);
         }
     }
 
-    /// Announces a home again to nodes that have not told what they know; the first time it was announced
-    /// by its broker.
-    fn ask_unheard(&self, context: &mut Context<'_>) {
-        for (group, epoch, nodes) in self.home.unheard(context) {
+    /// Announces a home again to nodes that have not sent their records. The home's broker made the first
+    /// announcement.
+    fn announce_again(&self, context: &mut Context<'_>) {
+        for (group, epoch, nodes) in self.held_homes.awaiting_refill(context) {
             let reregister = Reregister { group, epoch };
             for node in nodes {
                 context.send(&node, Message::Reregister(reregister.clone()));
@@ -219,20 +223,22 @@
         }
     }
 
-    fn tell_ends_again(&mut self, context: &mut Context<'_>) {
-        for queue in &mut self.tell_again {
+    fn resend_ends(&mut self, context: &mut Context<'_>) {
+        for queue in &mut self.pending_resends {
             let due = queue.partition_point(|(due_at, _)| *due_at <= context.now);
             for (_, ended) in queue.drain(..due) {
-                tell_end(context, ended);
+                send_end(context, ended);
             }
         }
     }
 
     fn home_acquired(&mut self, context: &mut Context<'_>, group: &GroupId, epoch: Epoch) {
-        let known = self.known(context, group);
-        self.home.begin(context.view, context.now, group, epoch);
-        let here = &context.view.node.id;
-        self.home.refill(context.now, here, group, epoch, known);
+        let known = self.known_keys(context, group);
+        self.held_homes
+            .begin(context.view, context.now, group, epoch);
+        let own_node = &context.view.node.id;
+        self.held_homes
+            .refill(context.now, own_node, group, epoch, known);
         self.holder_changed(context, group);
     }
 
@@ -242,20 +248,21 @@
         }
     }
 
-    /// All that this node knows of the keys of a home: its own requests', and those of the homes it holds.
-    fn known(&mut self, context: &Context<'_>, group: &GroupId) -> Vec<KnownKey> {
+    /// Everything that this node knows of the keys of a home: those of its own requests and of the homes that
+    /// it holds.
+    fn known_keys(&mut self, context: &Context<'_>, group: &GroupId) -> Vec<KnownKey> {
         let catalogue = &context.view.catalogue;
         let index = &mut self.index;
-        let here = &context.view.node.id;
-        let mut known = self.home.known(here, group, |key, other| {
-            index.share(catalogue, key, group, other)
+        let own_node = &context.view.node.id;
+        let mut known = self.held_homes.known_keys(own_node, group, |key, other| {
+            index.shares_home(catalogue, key, group, other)
         });
-        known.extend(self.own.known(here, group));
+        known.extend(self.own.known_keys(own_node, group));
         known
     }
 }
 
-/// Registers a key with the present holder of a home; without one the next round tries again.
+/// Registers a key with the current holder of a home. If none is known, the next round tries again.
 fn register(context: &mut Context<'_>, home: &GroupId, key: &RequestKey, request: RequestId) {
     let holder = context.view.holders.get(home).map(|holder| &holder.node);
     if let Some(node) = holder.cloned() {
@@ -279,14 +286,14 @@
     context.send(node, Message::KeyRegister(register));
 }
 
-fn tell_end(context: &mut Context<'_>, ended: KeyEnded) {
+fn send_end(context: &mut Context<'_>, ended: KeyEnded) {
     let holder = context.view.holders.get(&ended.home);
     if let Some(node) = holder.map(|holder| holder.node.clone()) {
         context.send(&node, Message::KeyEnded(ended));
     }
 }
 
-fn pronounce(context: &mut Context<'_>, request: RequestId, verdict: Verdict) {
+fn signal_verdict(context: &mut Context<'_>, request: RequestId, verdict: Verdict) {
     match verdict {
         Verdict::Wait => (),
         Verdict::Granted => context.signal(Signal::KeyGranted { request }),
--- a/crates/dragonflystep_core/src/stop/mod.rs
+++ b/crates/dragonflystep_core/src/stop/mod.rs
@@ -1,7 +1,7 @@
-//! Planned stop: the node leaves without cutting off a request.
+//! Planned stop: drains the node without cutting off a request.
 //!
-//! A stopping node refuses new requests as not run, finishes those that it took in, hands its leases over
-//! and settles its claims. Only then it exits.
+//! A stopping node refuses new requests as not run, finishes those that it has accepted, hands over its
+//! leases and settles its claims. Only then does it exit.
 
 use {
     crate::{
@@ -13,29 +13,29 @@
     std::time::Duration,
 };
 
-/// How often the node looks whether it may exit.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Longest wait for the platform once no request is open: an expired lease and a claim that still says
-/// `claimed` are safe to leave behind, a request is not.
-const PLATFORM_PATIENCE: Duration = Duration::from_secs(30);
+/// How often the node checks whether it can exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for the platform once no request is open. An expired lease and a claim that still says
+/// `claimed` can be left behind safely; a request can't.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// State of this part.
+/// How far the planned stop of this node has come.
 #[derive(Debug, Default)]
 pub struct Stop {
     stage: Stage,
 }
 
-/// How far the stop is.
+/// Stage of the stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// No stop was asked for.
+    /// No stop was requested.
     #[default]
     Serving,
-    /// Requests are open.
+    /// Requests are still open.
     Draining,
-    /// No request is open; leases and claims are.
+    /// No request is open, but leases or claims are.
     Settling {
-        /// Since when.
+        /// When the last request ended, as seen by the poll.
         since: Duration,
     },
     /// The node was told to exit.
@@ -43,7 +43,7 @@
 }
 
 impl Stop {
-    /// Begins to stop.
+    /// Starts the stop and tells all members that this node is leaving.
     pub fn requested(&mut self, context: &mut Context<'_>) {
         if self.stage != Stage::Serving {
             return;
@@ -51,12 +51,12 @@
         self.stage = Stage::Draining;
         context.view.stopping = true;
         context.signal(Signal::StopBegan);
-        self.tell_members(context);
-        context.start_timer(LOOK_EVERY, Timer::StopRound);
+        self.notify_members(context);
+        context.start_timer(POLL_INTERVAL, Timer::StopRound);
         context.log(LogLevel::Info, "stop began", Vec::new());
     }
 
-    /// Exits when nothing is left to do.
+    /// Exits once no request is open and leases and claims are settled, or after the timeout.
     pub fn round_due(
         &mut self,
         context: &mut Context<'_>,
@@ -72,20 +72,20 @@
         };
         if let Stage::Settling { since } = self.stage {
             let waited = context.now.saturating_sub(since);
-            if settled || waited >= PLATFORM_PATIENCE {
+            if settled || waited >= SETTLE_TIMEOUT {
                 return self.exit(context, settled);
             }
         }
-        context.start_timer(LOOK_EVERY, Timer::StopRound);
+        context.start_timer(POLL_INTERVAL, Timer::StopRound);
     }
 
-    /// Hears from the other parts: a node that joins during the stop is told of it.
+    /// Tells a node that joins during the stop that this node is leaving.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         if let Signal::MemberJoined { node } = signal
             && context.view.stopping
         {
-            let here = context.view.node.id.clone();
-            context.send(node, Message::Leaving(here));
+            let own_node = context.view.node.id.clone();
+            context.send(node, Message::Leaving(own_node));
         }
     }
 
@@ -101,11 +101,11 @@
         context.effect(Effect::Exit);
     }
 
-    fn tell_members(&self, context: &mut Context<'_>) {
-        let here = context.view.node.id.clone();
+    fn notify_members(&self, context: &mut Context<'_>) {
+        let own_node = context.view.node.id.clone();
         let members: Vec<_> = context.view.members.keys().cloned().collect();
         for member in members {
-            context.send(&member, Message::Leaving(here.clone()));
+            context.send(&member, Message::Leaving(own_node.clone()));
         }
     }
 }
