--- a/benches/benches/placing.rs
+++ b/benches/benches/placing.rs
@@ -72,8 +72,8 @@
             output_tokens: 120,
             segments: Vec::new(),
         },
-        attempt: 0,
-        avoid: Vec::new(),
+        previous_attempts: 0,
+        excluded_upstreams: Vec::new(),
         fingerprint: run,
         data_centre: "a".into(),
     }
--- a/crates/dragonflystep_dispatch/src/dispatcher.rs
+++ b/crates/dragonflystep_dispatch/src/dispatcher.rs
@@ -62,7 +62,7 @@
     /// An entry node reported the end of a run.
     RunEnded(RunReport),
     /// An entry node reported an active run that another owner granted.
-    RunAdopted(ActiveRun),
+    ActiveRunReported(ActiveRun),
     /// An entry node reported what accounts recently used through it, which it does before it sends slot requests to a
     /// new owner.
     UsageReported(UsageReport),
@@ -164,7 +164,7 @@
             Event::SlotRequested(request) => self.handle_slot_request(now, request, &mut effects),
             Event::RequestWithdrawn(service, run) => self.handle_withdrawal(&service, run),
             Event::RunEnded(report) => self.handle_run_end(now, &report, &mut effects),
-            Event::RunAdopted(active_run) => {
+            Event::ActiveRunReported(active_run) => {
                 let pool = self
                     .pools
                     .entry(active_run.request.service.clone())
@@ -254,7 +254,7 @@
     }
 
     /// Whether an upstream asked a node to send no requests for now.
-    pub fn wants_back_off_from(
+    pub fn is_backed_off(
         &self,
         now: MonotonicTime,
         upstream: &UpstreamId,
@@ -275,7 +275,7 @@
             .iter_mut()
             .map(|(service, pool)| pool.summary(now, service.clone()));
         summaries
-            .filter(|summary| summary.granted > 0 || summary.waiting > 0)
+            .filter(|summary| summary.granted_slots > 0 || summary.waiting > 0)
             .collect()
     }
 
@@ -319,7 +319,7 @@
         }
         let limits = self.retry_limits;
         let pool = self.pools.entry(request.service.clone()).or_default();
-        if request.attempt == 0 {
+        if request.previous_attempts == 0 {
             pool.retries.count_request(now, limits);
         } else if !pool.retries.take_retry(now, limits, self.limit_share) {
             return Some(refuse(
@@ -369,7 +369,7 @@
                 | RunOutcome::Withheld
                 | RunOutcome::Cancelled => {}
             }
-            if !report.outcome.has_run()
+            if !report.outcome.may_have_run()
                 && let Some(account) = &finished.request.account
             {
                 self.quotas
--- a/crates/dragonflystep_dispatch/src/messages.rs
+++ b/crates/dragonflystep_dispatch/src/messages.rs
@@ -52,9 +52,9 @@
     /// The amount of work that the request causes.
     pub size: WorkSize,
     /// Number of upstreams to which this request was sent before.
-    pub attempt: u32,
+    pub previous_attempts: u32,
     /// Upstreams that must not be chosen for this request.
-    pub avoid: Vec<UpstreamId>,
+    pub excluded_upstreams: Vec<UpstreamId>,
     /// Recognizes the request if it comes again under another id.
     pub fingerprint: RequestFingerprint,
     /// Data centre of the entry node.
@@ -139,7 +139,7 @@
 
 impl RunOutcome {
     /// Whether the request may have run and therefore counts against quotas.
-    pub fn has_run(self) -> bool {
+    pub fn may_have_run(self) -> bool {
         !matches!(
             self,
             Self::Rejected | Self::Unreachable | Self::Misdirected | Self::Withheld
--- a/crates/dragonflystep_dispatch/src/placement.rs
+++ b/crates/dragonflystep_dispatch/src/placement.rs
@@ -64,7 +64,7 @@
         let is_backed_off = upstream
             .requested_back_off
             .applies_to(now, node_incarnation_of(request.run));
-        if is_backed_off || request.avoid.contains(&upstream.entry.id) {
+        if is_backed_off || request.excluded_upstreams.contains(&upstream.entry.id) {
             continue;
         }
         let prediction = predict(now, request, objective_left, upstream, model);
--- a/crates/dragonflystep_dispatch/src/pool.rs
+++ b/crates/dragonflystep_dispatch/src/pool.rs
@@ -41,7 +41,7 @@
     arrivals: ArrivalRates,
     refused: RefusedRequests,
     /// Slots granted since the last summary.
-    granted: u64,
+    granted_slots: u64,
     /// Share of the slots that this owner may use; absent if it sees a majority of the nodes and may use all.
     slot_share: Option<f64>,
     /// Share of the upstreams' rate limits that this owner may use; absent means all.
--- a/crates/dragonflystep_dispatch/src/pool/placing.rs
+++ b/crates/dragonflystep_dispatch/src/pool/placing.rs
@@ -158,7 +158,7 @@
             address: entry.address.clone(),
         };
         let run = request.run;
-        self.granted += 1;
+        self.granted_slots += 1;
         self.granted_at.insert(request.tier, now);
         self.upstreams[index].record_sent(now);
         self.start_run(now, request, index, prediction);
--- a/crates/dragonflystep_dispatch/src/pool/rolling.rs
+++ b/crates/dragonflystep_dispatch/src/pool/rolling.rs
@@ -26,7 +26,8 @@
         self.rollout_rules = rules;
         match &mut self.rollout {
             Some(rollout)
-                if rollout.order().to == order.to && rollout.order().number == order.number =>
+                if rollout.order().target_version == order.target_version
+                    && rollout.order().number == order.number =>
             {
                 rollout.update_order(order);
             }
@@ -134,7 +135,7 @@
     pub(super) fn count_for_rollout(&mut self, request: &SlotRequest) -> bool {
         // An owner that sees no majority cannot decide the roll-out, so it sends no canaries. A request that failed
         // before is not exposed to another risk.
-        let is_eligible = request.attempt == 0 && self.slot_share.is_none();
+        let is_eligible = request.previous_attempts == 0 && self.slot_share.is_none();
         let rules = self.rollout_rules;
         let rollout = self.rollout.as_mut();
         rollout.is_some_and(|rollout| rollout.admit_canary(&request.route, rules, is_eligible))
--- a/crates/dragonflystep_dispatch/src/pool/summary.rs
+++ b/crates/dragonflystep_dispatch/src/pool/summary.rs
@@ -15,7 +15,7 @@
     /// Whether it is ready and not backed off.
     pub is_usable: bool,
     /// Requests per second that this owner may send there; absent if the upstream stated no rate limit.
-    pub limited_per_s: Option<f64>,
+    pub rate_limit_per_s: Option<f64>,
     /// Prefill time per prompt token, in microseconds.
     pub prefill_us_per_token: f64,
     /// Time between two events of a stream, in milliseconds.
@@ -32,7 +32,7 @@
     /// Number of requests that wait for a slot.
     pub waiting: usize,
     /// Number of slots granted since the last summary.
-    pub granted: u64,
+    pub granted_slots: u64,
     /// The upstreams of the service.
     pub upstreams: Vec<UpstreamSummary>,
 }
@@ -44,7 +44,7 @@
             id: upstream.entry.id.clone(),
             running: upstream.runs.len(),
             is_usable: upstream.is_usable(now),
-            limited_per_s: upstream.limited_per_s(),
+            rate_limit_per_s: upstream.rate_limit_per_s(),
             prefill_us_per_token: upstream.speed.prefill_ms_per_token * 1e3,
             ms_per_event: upstream.speed.ms_per_event,
             failure_rate: upstream.failure_rate,
@@ -52,7 +52,7 @@
         PoolSummary {
             service,
             waiting: self.queue.len(),
-            granted: std::mem::take(&mut self.granted),
+            granted_slots: std::mem::take(&mut self.granted_slots),
             upstreams: upstreams.collect(),
         }
     }
--- a/crates/dragonflystep_dispatch/src/quota/handover.rs
+++ b/crates/dragonflystep_dispatch/src/quota/handover.rs
@@ -96,7 +96,7 @@
     fn accept(&mut self, now: MonotonicTime, window: Duration, report: UsageReport) {
         self.version += 1;
         let now_s = now.as_secs_f64();
-        let covered_s = report.covers.min(window).as_secs_f64();
+        let covered_s = report.coverage.min(window).as_secs_f64();
         let known = EntryCoverage {
             since_s: now_s - covered_s,
             reported_at: now,
--- a/crates/dragonflystep_dispatch/src/rollout.rs
+++ b/crates/dragonflystep_dispatch/src/rollout.rs
@@ -32,7 +32,7 @@
     /// The service that is rolled out.
     pub service: ServiceName,
     /// The new version, to which the service's requests move.
-    pub to: UpstreamVersion,
+    pub target_version: UpstreamVersion,
     /// Number of the order; a later order has a higher number.
     pub number: u64,
     /// Time by which the order has to be decided.
@@ -256,7 +256,7 @@
     }
 
     pub(crate) fn is_new(&self, version: &UpstreamVersion) -> bool {
-        *version == self.order().to
+        *version == self.order().target_version
     }
 
     /// Whether the roll-out is in the stage that sends canaries.
--- a/crates/dragonflystep_dispatch/src/upstream.rs
+++ b/crates/dragonflystep_dispatch/src/upstream.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the requests per second that this owner may send, if the upstream stated a rate limit.
-    pub(crate) fn limited_per_s(&self) -> Option<f64> {
+    pub(crate) fn rate_limit_per_s(&self) -> Option<f64> {
         self.pacer.as_ref().map(RequestPacer::requests_per_s)
     }
 
@@ -162,7 +162,7 @@
     /// and its rate limit permit.
     pub(crate) fn effective_slots(&self, run_ms: f64) -> f64 {
         let slots = f64::from(self.slots());
-        self.limited_per_s()
+        self.rate_limit_per_s()
             .map_or(slots, |rate| slots.min(rate * run_ms / 1e3))
     }
 
--- a/crates/dragonflystep_dispatch/src/usage.rs
+++ b/crates/dragonflystep_dispatch/src/usage.rs
@@ -43,7 +43,7 @@
     pub node: NodeName,
     /// How far back the report reaches. An entry node that has just started knows nothing about the time before its
     /// start.
-    pub covers: Duration,
+    pub coverage: Duration,
     /// Usage of each account that used anything.
     pub accounts: Vec<AccountUsage>,
 }
@@ -143,7 +143,7 @@
         });
         UsageReport {
             node,
-            covers: if self.is_first_start {
+            coverage: if self.is_first_start {
                 self.window
             } else {
                 now.min(self.window)
--- a/crates/dragonflystep_dispatch/tests/decisions.rs
+++ b/crates/dragonflystep_dispatch/tests/decisions.rs
@@ -179,7 +179,7 @@
     let mut owner = dispatcher(1, 1);
     owner.reduce(
         START,
-        Event::RunAdopted(ActiveRun {
+        Event::ActiveRunReported(ActiveRun {
             request: plain_request(9, 0),
             upstream: "engine-0".into(),
             running_for: Duration::from_millis(100),
@@ -209,7 +209,7 @@
     let mut refused = 0;
     for run in 1..=100 {
         let retry = SlotRequest {
-            attempt: 1,
+            previous_attempts: 1,
             ..plain_request(run, 0)
         };
         if let Some(SlotDecision::Refused(refusal)) = request_slot(&mut owner, START, retry) {
--- a/crates/dragonflystep_dispatch/tests/rate_limits.rs
+++ b/crates/dragonflystep_dispatch/tests/rate_limits.rs
@@ -263,7 +263,7 @@
     }
     second.reduce(
         at,
-        Event::RunAdopted(ActiveRun {
+        Event::ActiveRunReported(ActiveRun {
             request: plain_request(90_000, 0),
             upstream: "engine-1".into(),
             running_for: Duration::from_millis(100),
--- a/crates/dragonflystep_dispatch/tests/rest_replay.rs
+++ b/crates/dragonflystep_dispatch/tests/rest_replay.rs
@@ -125,7 +125,7 @@
             .back_offs
             .iter()
             .filter(|((of, _), (until, _))| *of == node && at < *until);
-        request.avoid = backing_off
+        request.excluded_upstreams = backing_off
             .map(|((_, upstream), _)| upstream.clone())
             .collect();
         self.counts.requests += 1;
--- a/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
+++ b/crates/dragonflystep_dispatch/tests/resting_upstreams.rs
@@ -115,7 +115,7 @@
         second.reduce(START, Event::NoticeReceived(notice));
     }
     let upstream = "engine-0".into();
-    let is_backing_off = |at| second.wants_back_off_from(at, &upstream, FIRST);
+    let is_backing_off = |at| second.is_backed_off(at, &upstream, FIRST);
     assert!(is_backing_off(START + BACK_OFF / 2));
     assert!(!is_backing_off(START + BACK_OFF));
 }
--- a/crates/dragonflystep_dispatch/tests/support/mod.rs
+++ b/crates/dragonflystep_dispatch/tests/support/mod.rs
@@ -191,8 +191,8 @@
             output_tokens: 120,
             segments: Vec::new(),
         },
-        attempt: 0,
-        avoid: Vec::new(),
+        previous_attempts: 0,
+        excluded_upstreams: Vec::new(),
         fingerprint: run,
         data_centre: "a".into(),
     }
--- a/crates/dragonflystep_dispatch/tests/support/rollout_simulation.rs
+++ b/crates/dragonflystep_dispatch/tests/support/rollout_simulation.rs
@@ -272,7 +272,7 @@
     pub fn order(&self) -> RolloutOrder {
         RolloutOrder {
             service: SERVICE.into(),
-            to: "v2".into(),
+            target_version: "v2".into(),
             number: 7,
             ends_at: at(ORDERED_AT_S + ORDER_DURATION_S),
         }
--- a/crates/dragonflystep_edge/src/answer.rs
+++ b/crates/dragonflystep_edge/src/answer.rs
@@ -15,7 +15,7 @@
 /// can tell that the answer is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer can't be completed")]
-pub struct AnswerCut;
+pub struct IncompleteAnswer;
 
 /// Body of an answer to a caller.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     /// The whole body.
     Buffered(Bytes),
     /// The body arrives in chunks while it is sent.
-    Streamed(mpsc::Receiver<Result<Bytes, AnswerCut>>),
+    Streamed(mpsc::Receiver<Result<Bytes, IncompleteAnswer>>),
 }
 
 impl AnswerBody {
@@ -35,12 +35,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = IncompleteAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteAnswer>>> {
         match self.get_mut() {
             Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         job::Job,
-        placing::{Place, obtain},
+        slots::{Slot, acquire_slot},
     },
     dragonflystep_dispatch::{Refusal, UpstreamId},
     std::time::{Duration, Instant},
@@ -26,11 +26,11 @@
 
 impl Attempts {
     /// Requests a slot for the next attempt.
-    pub(crate) async fn request_slot(&mut self, job: &Job) -> Result<Place, Refusal> {
+    pub(crate) async fn request_slot(&mut self, job: &Job) -> Result<Slot, Refusal> {
         self.slot_requests += 1;
         let request = job.slot_request(self);
         let requested_at = Instant::now();
-        let slot = obtain(&job.node, request).await;
+        let slot = acquire_slot(&job.node, request).await;
         self.queued += requested_at.elapsed();
         slot
     }
--- a/crates/dragonflystep_edge/src/burn.rs
+++ b/crates/dragonflystep_edge/src/burn.rs
@@ -55,11 +55,11 @@
     /// use dragonflystep_edge::EdgeBurnReport;
     ///
     /// let page = "in_time_total{kind=\"quotes\"} 97\nlate_total{kind=\"quotes\"} 3\n";
-    /// let report = EdgeBurnReport::of_pages(0.99, &[page.to_owned()], Vec::new());
+    /// let report = EdgeBurnReport::from_pages(0.99, &[page.to_owned()], Vec::new());
     /// assert_eq!(report.routes["quotes"].share_in_time, 0.97);
     /// assert!((report.routes["quotes"].burn - 3.0).abs() < 1e-9);
     /// ```
-    pub fn of_pages(objective_share: f64, pages: &[String], missing_nodes: Vec<String>) -> Self {
+    pub fn from_pages(objective_share: f64, pages: &[String], missing_nodes: Vec<String>) -> Self {
         let mut routes: BTreeMap<String, RouteBurn> = BTreeMap::new();
         for (name, route, value) in pages
             .iter()
--- a/crates/dragonflystep_edge/src/connection_io.rs
+++ b/crates/dragonflystep_edge/src/connection_io.rs
@@ -2,7 +2,7 @@
 //! the times that timeouts depend on.
 
 use {
-    crate::head_check::FramingCheck,
+    crate::framing_check::FramingCheck,
     hyper::rt::{Read, ReadBufCursor, Write},
     hyper_util::rt::TokioIo,
     std::{
--- a/crates/dragonflystep_edge/src/dialect.rs
+++ b/crates/dragonflystep_edge/src/dialect.rs
@@ -74,7 +74,7 @@
     /// Whether the upstream is about to leave the service.
     pub is_leaving: Stated<bool>,
     /// How long this node is to back off from the upstream, which refused the request.
-    pub rest: Stated<Duration>,
+    pub back_off: Stated<Duration>,
     /// How long the upstream keeps the connection open while it is idle; none if the answer does not say.
     pub keep_alive: Option<Duration>,
 }
@@ -103,7 +103,7 @@
     fn upstream_headers(&self, headers: &HeaderMap, facts: &UpstreamFacts<'_>) -> HeaderMap;
 
     /// How long callers wait for the first event of a stream of the route before they give up; none for plain calls.
-    fn stream_patience(&self, route: &Route) -> Option<Duration>;
+    fn first_event_timeout(&self, route: &Route) -> Option<Duration>;
 
     /// Reads the head of an upstream's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
@@ -119,13 +119,18 @@
 
     /// Completes the headers of a reply that the node generates itself with the request id and the time after which the
     /// caller may retry. `request_id` is empty if it is not known; without `retry_after`, no time is stated.
-    fn own_answer(&self, headers: &mut HeaderMap, request_id: &str, retry_after: Option<Duration>);
+    fn local_reply_headers(
+        &self,
+        headers: &mut HeaderMap,
+        request_id: &str,
+        retry_after: Option<Duration>,
+    );
 
     /// Whether a request is a readiness probe.
-    fn is_readiness(&self, method: &Method, uri: &Uri) -> bool;
+    fn is_readiness_probe(&self, method: &Method, uri: &Uri) -> bool;
 
     /// Parses a query for the addresses of nodes; none if the request is no such query.
-    fn read_directory(&self, method: &Method, uri: &Uri) -> Option<DirectoryQuery>;
+    fn read_directory_query(&self, method: &Method, uri: &Uri) -> Option<DirectoryQuery>;
 
     /// The answer to a query for addresses, which callers may use for `lifetime`: content type and body.
     fn directory_answer(&self, addresses: &[String], lifetime: Duration) -> (&'static str, Bytes);
--- a/crates/dragonflystep_edge/src/exchange.rs
+++ b/crates/dragonflystep_edge/src/exchange.rs
@@ -129,7 +129,7 @@
             for notice in &mut notices {
                 notice.age += now.saturating_sub(asked_at);
             }
-            node.learn_notices(notices, &peer);
+            node.apply_notices(notices, &peer);
             fetch_if_newer(&node, &theirs);
             if node.has_newer_lists_than(&theirs) {
                 push_missing(&node, &peer, &link, &theirs).await;
@@ -137,7 +137,7 @@
         }
         Err(error) => {
             node.metrics.count("peer_failures_total", "exchange");
-            node.members.failed(node.owner.now(), &peer, &error);
+            node.members.record_failure(node.owner.now(), &peer, &error);
         }
     }
 }
--- a/crates/dragonflystep_edge/src/job.rs
+++ b/crates/dragonflystep_edge/src/job.rs
@@ -8,14 +8,14 @@
 use {
     crate::{
         answer::{AnswerBody, end_to_end_headers},
-        answers_of_own::LocalReply,
         attempts::Attempts,
         burn::{FAILED, IN_TIME, LATE, REFUSED},
         dialect::{AnswerFacts, RequestFacts, UpstreamFacts},
-        limits::{ELSEWHERE_RETRY_AFTER, LATE_ANSWER_MARGIN, MOST_PLACES_ASKED},
+        limits::{LATE_ANSWER_MARGIN, MAX_SLOT_REQUESTS, OTHER_NODE_RETRY_AFTER},
+        local_reply::LocalReply,
         node::Node,
-        placing::{Place, RunFigures},
         relay::{Relay, buffer_answer},
+        slots::{RunStats, Slot},
         stop::OpenRequest,
         upstream_connections::{OpenConnection, SendError},
         upstream_health::confirm_upstream,
@@ -133,7 +133,7 @@
     /// Whether the deadline and the limits on attempts and slot requests allow another dispatch.
     pub(crate) fn may_send_again(&self, attempts: &Attempts) -> bool {
         attempts.sent < self.route.max_attempts.max(1)
-            && attempts.slot_requests < MOST_PLACES_ASKED
+            && attempts.slot_requests < MAX_SLOT_REQUESTS
             && Instant::now() < self.deadline
     }
 
@@ -143,7 +143,7 @@
 
     /// Time until the caller gives up on a stream without a first event; unlimited if the route is no stream.
     fn first_event_wait_left(&self) -> Duration {
-        let longest_wait = self.node.dialect.stream_patience(&self.route);
+        let longest_wait = self.node.dialect.first_event_timeout(&self.route);
         longest_wait.map_or(Duration::MAX, |longest_wait| {
             longest_wait.saturating_sub(self.arrived.elapsed())
         })
@@ -167,8 +167,8 @@
             time_left: self.time_left().min(self.first_event_wait_left()),
             longest_pause,
             size: self.facts.size.clone(),
-            attempt: attempts.sent,
-            avoid: attempts.upstreams().to_vec(),
+            previous_attempts: attempts.sent,
+            excluded_upstreams: attempts.upstreams().to_vec(),
             fingerprint: self.fingerprint,
             data_centre: self.node.settings.data_centre.clone(),
         }
@@ -177,7 +177,7 @@
     /// Sends the request to the upstream of its slot.
     ///
     /// A non-idempotent request is sent by a task of its own, so that it is not cancelled when its caller disconnects.
-    async fn send(self: Rc<Self>, attempts: &mut Attempts, slot: Place) -> DispatchOutcome {
+    async fn send(self: Rc<Self>, attempts: &mut Attempts, slot: Slot) -> DispatchOutcome {
         attempts.count_sent(&slot.grant.upstream);
         let outcome = if self.route.kind == RouteKind::NonIdempotent {
             let task = spawn_local(self.send_once(slot, None));
@@ -196,12 +196,12 @@
     /// received.
     pub(crate) async fn send_once(
         self: Rc<Self>,
-        slot: Place,
+        slot: Slot,
         resume_after: Option<String>,
     ) -> DispatchOutcome {
         if !confirm_upstream(&self.node, &self.service, &slot.grant).await {
             log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream; "upstream does not confirm that it takes requests, and nobody else is heard");
-            slot.end(RunOutcome::Unreachable, RunFigures::default());
+            slot.end(RunOutcome::Unreachable, RunStats::default());
             return DispatchOutcome::NotRun(UNCONFIRMED);
         }
         if !slot.accepts_requests() {
@@ -218,16 +218,16 @@
             Ok(Ok(sent)) => sent,
             Ok(Err(SendError::NotSent(error))) => {
                 log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, error:%; "could not connect to the upstream");
-                slot.end(RunOutcome::Unreachable, RunFigures::default());
+                slot.end(RunOutcome::Unreachable, RunStats::default());
                 return DispatchOutcome::NotRun(UNREACHABLE);
             }
             Ok(Err(SendError::Broken(error))) => {
                 log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, error:%; "upstream broke off");
-                slot.end(RunOutcome::Broken, RunFigures::default());
+                slot.end(RunOutcome::Broken, RunStats::default());
                 return DispatchOutcome::Unknown("upstream_broke_off");
             }
             Err(_) => {
-                slot.end(RunOutcome::Cancelled, RunFigures::default());
+                slot.end(RunOutcome::Cancelled, RunStats::default());
                 return DispatchOutcome::Unknown("timeout");
             }
         };
@@ -257,14 +257,14 @@
     /// Decides by the head of an answer whether the request ran, and how the answer is passed on.
     async fn interpret_answer(
         self: Rc<Self>,
-        slot: Place,
+        slot: Slot,
         response: Response<Incoming>,
         connection: OpenConnection,
         facts: AnswerFacts,
     ) -> DispatchOutcome {
         if !self.belongs_to_request(&facts) {
             log::warn!(request:% = self.facts.request_id, other:% = facts.request_id; "received the answer to another request");
-            slot.end(RunOutcome::Broken, RunFigures::default());
+            slot.end(RunOutcome::Broken, RunStats::default());
             return DispatchOutcome::Unknown("foreign_answer");
         }
         if facts.is_misdirected || facts.is_not_run {
@@ -274,12 +274,12 @@
                 RunOutcome::Rejected
             };
             log::info!(request:% = self.facts.request_id, upstream:% = slot.grant.upstream, outcome:? = outcome; "upstream did not run the request");
-            slot.end(outcome, RunFigures::default());
+            slot.end(outcome, RunStats::default());
             self.drain_answer(response, connection, &facts);
             return DispatchOutcome::NotRun("rejected");
         }
         if response.status().is_success() && !facts.is_signed {
-            slot.end(RunOutcome::Failed, RunFigures::default());
+            slot.end(RunOutcome::Failed, RunStats::default());
             return DispatchOutcome::Unknown("unsigned_answer");
         }
         let is_stream = matches!(self.route.kind, RouteKind::Stream { .. });
@@ -370,7 +370,7 @@
             return self.fail_unknown(reason);
         }
         log::info!(request:% = self.facts.request_id, route:% = self.route.name, reason, held_ms = ms(self.arrived.elapsed()); "request ended without having run");
-        LocalReply::not_run(reason, ELSEWHERE_RETRY_AFTER)
+        LocalReply::not_run(reason, OTHER_NODE_RETRY_AFTER)
             .response(&self.node, &self.facts.request_id)
     }
 
--- a/crates/dragonflystep_edge/src/lib.rs
+++ b/crates/dragonflystep_edge/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`Platform`] trait. Names that are specific to a platform are known only to its [`Dialect`].
 
 mod answer;
-mod answers_of_own;
 mod attempts;
 mod burn;
 mod catalogue_list;
@@ -15,18 +14,18 @@
 mod entry_runs;
 mod event_stream;
 mod exchange;
-mod head_check;
+mod framing_check;
 mod job;
 mod limits;
 mod list_fetch;
 mod list_version;
+mod local_reply;
 mod logs;
 mod members;
 mod metrics;
 mod node;
 mod owner;
 mod peer_service;
-mod placing;
 mod platform;
 mod relay;
 mod request;
@@ -34,6 +33,7 @@
 mod server;
 mod settings;
 mod settings_file;
+mod slots;
 mod stop;
 mod suspicion;
 mod upstream_connections;
@@ -43,22 +43,20 @@
 mod views;
 
 pub use self::{
-    answer::{AnswerBody, AnswerCut, end_to_end_headers},
+    answer::{AnswerBody, IncompleteAnswer, end_to_end_headers},
     burn::{EdgeBurnReport, RouteBurn},
     dialect::{
         AnswerFacts, Dialect, DialectError, DirectoryQuery, RequestFacts, Stated, UpstreamFacts,
     },
     limits::OWNER_FEED_WAIT,
-    list_version::{
-        ListReading, era_of, is_older_copy, is_same_order, order_number, recalls_before,
-    },
+    list_version::{ListReading, era_of, is_older_copy, is_same_order, knows_before, order_number},
     logs::{LogBuffer, LogError, start_log},
     metrics::Metrics,
     node::{Node, NodeError, run_node},
-    placing::{Place, RunFigures, obtain as obtain_place},
     platform::{Platform, PlatformFuture},
-    rollouts::RolloutNews,
+    rollouts::RolloutStatus,
     settings::{MemberRecord, NodeSettings},
     settings_file::{SettingsError, read_settings},
+    slots::{RunStats, Slot, acquire_slot},
     stop::stop_signal,
 };
--- a/crates/dragonflystep_edge/src/limits.rs
+++ b/crates/dragonflystep_edge/src/limits.rs
@@ -9,13 +9,13 @@
 
 /// Share of an upstream's keep-alive time during which an idle connection to it is reused. The rest covers the
 /// transit time and an inaccurate clock.
-pub(crate) const KEPT_CONNECTION_SHARE: f64 = 0.7;
+pub(crate) const USABLE_KEEP_ALIVE_SHARE: f64 = 0.7;
 
 /// Keep-alive time assumed for an upstream that does not state one.
 pub(crate) const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(3);
 
 /// Maximum number of idle connections kept per upstream; about as many as requests run there at once.
-pub(crate) const MOST_IDLE_CONNECTIONS: usize = 8;
+pub(crate) const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// Mean time between two gossip exchanges with a neighbour. Nodes of a large system wait twice as long.
 pub(crate) const EXCHANGE_INTERVAL: Duration = Duration::from_millis(400);
@@ -80,13 +80,13 @@
 pub(crate) const MIN_DETECTED_PAUSE: Duration = Duration::from_millis(500);
 
 /// Silence of an owner after which a node with a request waiting there sends the owner a probe.
-pub(crate) const OWNER_SILENCE: Duration = Duration::from_millis(80);
+pub(crate) const OWNER_PROBE_DELAY: Duration = Duration::from_millis(80);
 
 /// Timeout of that probe. If it is not answered, the next owner is asked.
-pub(crate) const OWNER_SIGN_TIMEOUT: Duration = Duration::from_millis(200);
+pub(crate) const OWNER_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Maximum number of owners that are asked over the network before the node decides by itself.
-pub(crate) const MOST_OWNERS_ASKED: usize = 3;
+pub(crate) const MAX_OWNERS_ASKED: usize = 3;
 
 /// Interval at which the owner processes its queue while requests wait there.
 pub(crate) const BUSY_TICK: Duration = Duration::from_millis(25);
@@ -106,22 +106,22 @@
 
 /// Retry-after time stated by a node that is not ready yet or is stopping. It is short because another node can
 /// serve the request.
-pub(crate) const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(100);
+pub(crate) const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Maximum number of buffered pieces of a stream to a slow caller.
-pub(crate) const STREAM_PIECES: usize = 64;
+pub(crate) const STREAM_BUFFER_CHUNKS: usize = 64;
 
 /// Maximum number of slots that are requested for one request. It bounds loops, not the number of attempts.
-pub(crate) const MOST_PLACES_ASKED: u32 = 6;
+pub(crate) const MAX_SLOT_REQUESTS: u32 = 6;
 
 /// Time limit of a request whose caller states none.
 pub(crate) const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(30);
 
 /// Maximum length of the body of a plain answer, in bytes. A longer body is treated as a broken answer.
-pub(crate) const LONGEST_PLAIN_ANSWER_BYTES: usize = 16 << 20;
+pub(crate) const MAX_PLAIN_ANSWER_BYTES: usize = 16 << 20;
 
 /// Interval at which an owner logs a summary of its state; about the usual duration of a stream.
-pub(crate) const BELIEF_LOG_INTERVAL: Duration = Duration::from_secs(2);
+pub(crate) const SUMMARY_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Maximum number of failed nodes, besides the neighbours, that are tried again in each round of exchanges. A data
 /// centre has more nodes than that, but a node calls few others besides its neighbours.
--- a/crates/dragonflystep_edge/src/list_fetch.rs
+++ b/crates/dragonflystep_edge/src/list_fetch.rs
@@ -164,9 +164,9 @@
         source: &str,
     ) -> Result<(), ChangesError> {
         match list {
-            ListName::Catalogue => self.learn_catalogue_changes(Changes::decode(bytes)?, source),
-            ListName::Registry => self.learn_registry_changes(Changes::decode(bytes)?, source),
-            ListName::Members => self.learn_member_changes(Changes::decode(bytes)?, source),
+            ListName::Catalogue => self.apply_catalogue_changes(Changes::decode(bytes)?, source),
+            ListName::Registry => self.apply_registry_changes(Changes::decode(bytes)?, source),
+            ListName::Members => self.apply_member_changes(Changes::decode(bytes)?, source),
         }
         Ok(())
     }
--- a/crates/dragonflystep_edge/src/list_version.rs
+++ b/crates/dragonflystep_edge/src/list_version.rs
@@ -25,7 +25,7 @@
     /// Number of the store's newest transaction.
     pub transaction: u64,
     /// Whether the reader knows the entries of the time before the era began.
-    pub recalls_earlier_era: bool,
+    pub knows_earlier_era: bool,
     /// Whether entries that are missing in the store may still return to it.
     pub awaits_entries: bool,
 }
@@ -45,7 +45,7 @@
     /// assert!(after.version() > before.version());
     /// ```
     pub fn version(self) -> u64 {
-        let recalls = u64::from(self.recalls_earlier_era) * RECALLS_BIT;
+        let recalls = u64::from(self.knows_earlier_era) * RECALLS_BIT;
         let complete = u64::from(!self.awaits_entries) * COMPLETE_BIT;
         self.era << ERA_SHIFT | recalls | self.transaction << 1 | complete
     }
@@ -64,7 +64,7 @@
 /// ```
 pub fn is_older_copy(known: u64, read_in_era: u64, era: u64) -> bool {
     let is_of_earlier_era = known > 0 && era_of(known) < era;
-    is_of_earlier_era || read_in_era < era && recalls_before(known, era)
+    is_of_earlier_era || read_in_era < era && knows_before(known, era)
 }
 
 /// The number of an order that was written in a transaction of an era. [`era_of`] also returns the era of such a
@@ -96,7 +96,7 @@
 ///
 /// Nodes with such a list accept only lists of such nodes as newer. Lists that they read from the store themselves
 /// must therefore count as such as well.
-pub fn recalls_before(known: u64, era: u64) -> bool {
+pub fn knows_before(known: u64, era: u64) -> bool {
     era_of(known) == era && known & RECALLS_BIT != 0
 }
 
--- a/crates/dragonflystep_edge/src/answers_of_own.rs
+++ b/crates/dragonflystep_edge/src/local_reply.rs
@@ -64,7 +64,7 @@
         let mut response = Response::new(AnswerBody::Buffered(body.into()));
         *response.status_mut() = self.status;
         node.dialect
-            .own_answer(response.headers_mut(), request_id, self.retry_after);
+            .local_reply_headers(response.headers_mut(), request_id, self.retry_after);
         response
     }
 }
--- a/crates/dragonflystep_edge/src/members.rs
+++ b/crates/dragonflystep_edge/src/members.rs
@@ -229,7 +229,7 @@
     }
 
     /// The first nodes by rank as owners, whether or not they are visible; nodes that are leaving are left out.
-    pub(crate) fn first_owners(&self) -> Vec<NodeName> {
+    pub(crate) fn preferred_owners(&self) -> Vec<NodeName> {
         let peers = self.peers.borrow();
         let is_leaving = |node: &str| peers.get(node).is_some_and(|peer| peer.is_leaving);
         let ranking = self.ranking(OWNERS_KEY);
@@ -281,7 +281,7 @@
     pub(crate) fn direct_partners(&self) -> Vec<NodeName> {
         let mut partners = self.neighbours();
         if self.listed_count() > SMALL_SYSTEM_NODES {
-            partners.extend(self.first_owners());
+            partners.extend(self.preferred_owners());
         }
         partners
     }
--- a/crates/dragonflystep_edge/src/members/reachability.rs
+++ b/crates/dragonflystep_edge/src/members/reachability.rs
@@ -28,7 +28,7 @@
         log::info!(peer = node; "node is reachable again");
         let failed_for = now.saturating_sub(since);
         let was_cut_off = failed_for >= MIN_OWNER_CUT_OFF
-            && self.first_owners().iter().any(|owner| **owner == *node);
+            && self.preferred_owners().iter().any(|owner| **owner == *node);
         if was_cut_off {
             log::info!(peer = node, failed_for_ms = failed_for.as_millis() as u64; "this node was cut off from a first owner");
             self.forget_failures(now);
@@ -37,7 +37,7 @@
     }
 
     /// Records that a call to a node failed.
-    pub(crate) fn failed(&self, now: MonotonicTime, node: &str, error: &PeerError) {
+    pub(crate) fn record_failure(&self, now: MonotonicTime, node: &str, error: &PeerError) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(node) {
             if peer.failed_since.is_none() {
                 log::warn!(peer = node, reason:% = error; "node does not answer");
--- a/crates/dragonflystep_edge/src/node.rs
+++ b/crates/dragonflystep_edge/src/node.rs
@@ -212,7 +212,7 @@
     }
 
     /// Applies a catalogue document, unless the catalogue in force is as new. `source` names its origin in the log.
-    pub fn learn_catalogue(&self, document: &[u8], source: &str) {
+    pub fn apply_catalogue(&self, document: &[u8], source: &str) {
         let catalogue = match self.dialect.read_catalogue(document) {
             Ok(catalogue) => catalogue,
             Err(error) => {
@@ -226,7 +226,7 @@
     }
 
     /// Applies changes of the catalogue that another node sent.
-    pub(crate) fn learn_catalogue_changes(&self, changes: Changes<CatalogueEntry>, source: &str) {
+    pub(crate) fn apply_catalogue_changes(&self, changes: Changes<CatalogueEntry>, source: &str) {
         let before = self.views.catalogue_version();
         let has_changed = self.views.apply_catalogue(changes);
         self.activate_catalogue(has_changed, before, source);
@@ -243,14 +243,14 @@
     }
 
     /// Applies a version of the registry of upstreams, unless the one in force is as new.
-    pub fn learn_registry(&self, version: u64, upstreams: Vec<Upstream>, source: &str) {
+    pub fn apply_registry(&self, version: u64, upstreams: Vec<Upstream>, source: &str) {
         let before = self.views.registry().version;
         let has_changed = self.views.replace_registry(version, upstreams);
         self.activate_registry(has_changed, before, source);
     }
 
     /// Applies changes of the registry that another node sent.
-    pub(crate) fn learn_registry_changes(&self, changes: Changes<Upstream>, source: &str) {
+    pub(crate) fn apply_registry_changes(&self, changes: Changes<Upstream>, source: &str) {
         let before = self.views.registry().version;
         let has_changed = self.views.apply_registry(changes);
         self.activate_registry(has_changed, before, source);
@@ -267,7 +267,7 @@
     }
 
     /// Whether an upstream takes requests, according to the registry in force and the notices that this node knows.
-    pub fn believes_ready(&self, id: &str) -> bool {
+    pub fn is_upstream_ready(&self, id: &str) -> bool {
         let registry = self.views.registry();
         let mut upstreams = registry.upstreams.iter();
         upstreams.any(|upstream| {
@@ -287,14 +287,14 @@
     }
 
     /// Applies a version of the list of nodes, unless the one in force is as new.
-    pub fn learn_members(&self, version: u64, records: Vec<MemberRecord>, source: &str) {
+    pub fn apply_members(&self, version: u64, records: Vec<MemberRecord>, source: &str) {
         let before = self.members.version();
         let has_changed = self.members.replace_records(version, records);
         self.activate_members(has_changed, before, source);
     }
 
     /// Applies changes of the list of nodes that another node sent.
-    pub(crate) fn learn_member_changes(&self, changes: Changes<MemberRecord>, source: &str) {
+    pub(crate) fn apply_member_changes(&self, changes: Changes<MemberRecord>, source: &str) {
         let before = self.members.version();
         let has_changed = self.members.apply_records(changes);
         self.activate_members(has_changed, before, source);
--- a/crates/dragonflystep_edge/src/node/digest.rs
+++ b/crates/dragonflystep_edge/src/node/digest.rs
@@ -101,12 +101,12 @@
         self.members.set_leaving(&theirs.node, theirs.is_leaving);
         self.members
             .set_reports_us_unavailable(&theirs.node, &theirs.unavailable);
-        self.learn_rollouts(&theirs.rollouts, &theirs.node);
+        self.apply_rollouts(&theirs.rollouts, &theirs.node);
         if let Some(changes) = from_json(&theirs.members, "list of nodes", &theirs.node) {
-            self.learn_member_changes(changes, &theirs.node);
+            self.apply_member_changes(changes, &theirs.node);
         }
         if let Some(changes) = from_json(&theirs.registry, "registry", &theirs.node) {
-            self.learn_registry_changes(changes, &theirs.node);
+            self.apply_registry_changes(changes, &theirs.node);
         }
     }
 }
--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -39,13 +39,13 @@
 
     /// Whether other nodes learn from this one whether the platform answers. In a large system, where few nodes
     /// follow the platform, the preferred owners report it, because all nodes exchange digests with them.
-    pub fn tells_platform_heard(&self) -> bool {
+    pub fn reports_platform_silence(&self) -> bool {
         self.members.listed_count() > SMALL_SYSTEM_NODES && self.is_preferred_owner()
     }
 
     /// The owners when no node has failed. Each node of a large system exchanges digests with them.
-    pub fn first_owners(&self) -> Vec<NodeName> {
-        self.members.first_owners()
+    pub fn preferred_owners(&self) -> Vec<NodeName> {
+        self.members.preferred_owners()
     }
 
     fn is_preferred_owner(&self) -> bool {
@@ -64,7 +64,7 @@
 
     /// Whether all nodes call the given one, as far as this node knows: it is a first owner or the current owner.
     pub(crate) fn is_first_or_current_owner(&self, node: &NodeName) -> bool {
-        self.members.first_owners().contains(node) || self.ranked_owners(1).contains(node)
+        self.members.preferred_owners().contains(node) || self.ranked_owners(1).contains(node)
     }
 
     /// Time since the platform last answered this node, or another one that reported it.
@@ -108,7 +108,7 @@
     }
 
     /// Counts a call to the platform by its outcome. `has_answered` says whether the platform did what was asked.
-    pub fn note_platform_call(&self, outcome: &'static str, has_answered: bool) {
+    pub fn record_platform_call(&self, outcome: &'static str, has_answered: bool) {
         self.metrics.count("platform_calls_total", outcome);
         if has_answered {
             self.platform_answered_at.set(self.owner.now());
@@ -134,7 +134,7 @@
 
     /// Reports to the dispatcher how many nodes are visible.
     pub(crate) fn update_visibility(&self) {
-        self.update_heard();
+        self.update_recent_contacts();
         let known = self.members.known_count();
         // Nodes that have not been tried count as visible, unless none of those that were tried answers. Otherwise
         // nodes that are each cut off from all others would each count themselves to the majority and grant whole
@@ -157,7 +157,7 @@
 
     /// Reports to the dispatcher how many nodes have contacted this one recently. Visibility may still date from
     /// before a network partition; recent contacts do not.
-    pub(crate) fn update_heard(&self) {
+    pub(crate) fn update_recent_contacts(&self) {
         let now = self.owner.now();
         let known = self.members.known_count();
         let heard = self.members.recent_contact_count(now);
@@ -166,6 +166,7 @@
         let share_of_time = now.as_secs_f64() / RECENT_CONTACT_WINDOW.as_secs_f64();
         let expected = heard as f64 / share_of_time.clamp(MIN_CONTACT_WINDOW_SHARE, 1.0);
         let visible = (expected as usize).min(known);
-        self.owner.set_heard(Visibility { visible, known });
+        self.owner
+            .set_recent_contacts(Visibility { visible, known });
     }
 }
--- a/crates/dragonflystep_edge/src/node/run.rs
+++ b/crates/dragonflystep_edge/src/node/run.rs
@@ -8,7 +8,7 @@
         peer_service::serve_peers,
         platform::Platform,
         rollouts::publish_rollouts,
-        server::{Door, serve_door},
+        server::{ListenerKind, serve_listener},
         settings::NodeSettings,
         stop::stop,
     },
@@ -47,14 +47,22 @@
     let peers = peers.map_err(|source| listen_error(addresses.peers, "other nodes", source))?;
     if let Some(address) = addresses.metrics {
         let metrics = listen(address, "metrics").await?;
-        spawn_local(serve_door(node.clone(), metrics, Door::Metrics));
+        spawn_local(serve_listener(node.clone(), metrics, ListenerKind::Metrics));
     }
-    spawn_local(serve_door(node.clone(), ingress, Door::Ingress));
-    spawn_local(serve_door(node.clone(), readiness, Door::Readiness));
-    spawn_local(serve_door(node.clone(), directory, Door::Directory));
+    spawn_local(serve_listener(node.clone(), ingress, ListenerKind::Ingress));
+    spawn_local(serve_listener(
+        node.clone(),
+        readiness,
+        ListenerKind::Readiness,
+    ));
+    spawn_local(serve_listener(
+        node.clone(),
+        directory,
+        ListenerKind::Directory,
+    ));
     spawn_local(serve_peers(node.clone(), peers));
     spawn_local(node.owner.clone().run());
-    spawn_local(node.owner.clone().log_beliefs());
+    spawn_local(node.owner.clone().log_summaries());
     spawn_local(exchange_views(node.clone()));
     spawn_local(watch_visibility(node.clone()));
     spawn_local(close_unused_connections(node.clone()));
--- a/crates/dragonflystep_edge/src/owner.rs
+++ b/crates/dragonflystep_edge/src/owner.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::{
-        limits::{BELIEF_LOG_INTERVAL, BUSY_TICK, IDLE_TICK},
+        limits::{BUSY_TICK, IDLE_TICK, SUMMARY_LOG_INTERVAL},
         rollouts::Rollouts,
     },
     dragonflystep_dispatch::{
@@ -108,14 +108,14 @@
     }
 
     /// Stores how many of the nodes this one has heard from recently.
-    pub(crate) fn set_heard(&self, recent_contacts: Visibility) {
+    pub(crate) fn set_recent_contacts(&self, recent_contacts: Visibility) {
         if self.recent_contacts.replace(recent_contacts) != recent_contacts {
             self.apply(Event::RecentContactsChanged(recent_contacts));
         }
     }
 
     /// Whether this node has heard from most of the nodes recently.
-    pub(crate) fn hears_majority(&self) -> bool {
+    pub(crate) fn has_majority_contact(&self) -> bool {
         self.recent_contacts.get().is_majority()
     }
 
@@ -135,13 +135,13 @@
     }
 
     /// Whether an upstream has asked a node to back off for a time that is not over yet.
-    pub(crate) fn wants_back_off_from(&self, upstream: &UpstreamId, node: NodeIncarnation) -> bool {
+    pub(crate) fn is_backed_off(&self, upstream: &UpstreamId, node: NodeIncarnation) -> bool {
         let dispatcher = self.dispatcher.borrow();
-        dispatcher.wants_back_off_from(self.now(), upstream, node)
+        dispatcher.is_backed_off(self.now(), upstream, node)
     }
 
     /// Requests a slot and waits for the decision; dropping the future withdraws the request.
-    pub(crate) async fn ask(self: Rc<Self>, request: SlotRequest) -> SlotDecision {
+    pub(crate) async fn request_slot(self: Rc<Self>, request: SlotRequest) -> SlotDecision {
         let (sender, receiver) = oneshot::channel();
         let mut guard = WithdrawGuard {
             owner: self.clone(),
@@ -164,7 +164,7 @@
     }
 
     /// Applies the end of a run. If its slot request still waits for a decision, the slot request is withdrawn.
-    pub(crate) fn ended(&self, report: RunReport) {
+    pub(crate) fn report_run_end(&self, report: RunReport) {
         if self.pending.borrow_mut().remove(&report.run).is_some() {
             self.apply(Event::RequestWithdrawn(report.service.clone(), report.run));
         }
@@ -172,8 +172,8 @@
     }
 
     /// Counts a run that another owner counted before.
-    pub(crate) fn adopt(&self, run: ActiveRun) {
-        self.apply(Event::RunAdopted(run));
+    pub(crate) fn adopt_run(&self, run: ActiveRun) {
+        self.apply(Event::ActiveRunReported(run));
     }
 
     /// Applies clock ticks to the dispatcher for as long as the node runs, more often while slot requests wait.
@@ -192,12 +192,12 @@
     }
 
     /// Periodically logs the dispatcher's view of each service and its upstreams, for as long as the node runs.
-    pub(crate) async fn log_beliefs(self: Rc<Self>) {
+    pub(crate) async fn log_summaries(self: Rc<Self>) {
         loop {
-            sleep(BELIEF_LOG_INTERVAL).await;
+            sleep(SUMMARY_LOG_INTERVAL).await;
             let summaries = self.dispatcher.borrow_mut().summaries(self.now());
             for summary in summaries {
-                log::info!(service:% = summary.service, granted = summary.granted, waiting = summary.waiting, upstreams:% = format_upstreams(&summary); "owner's beliefs");
+                log::info!(service:% = summary.service, granted = summary.granted_slots, waiting = summary.waiting, upstreams:% = format_upstreams(&summary); "owner's beliefs");
             }
         }
     }
@@ -225,7 +225,8 @@
 impl Drop for WithdrawGuard {
     fn drop(&mut self) {
         if self.is_armed {
-            self.owner.ended(cancelled(self.service.clone(), self.run));
+            self.owner
+                .report_run_end(cancelled_report(self.service.clone(), self.run));
         }
     }
 }
@@ -238,7 +239,7 @@
     for upstream in &summary.upstreams {
         let unusable_mark = if upstream.is_usable { "" } else { "!" };
         let rate_limit = upstream
-            .limited_per_s
+            .rate_limit_per_s
             .map_or(String::new(), |rate| format!("~{rate:.2}"));
         let _ = write!(
             text,
@@ -254,7 +255,7 @@
 }
 
 /// The report of a cancelled run. It counts neither for nor against the upstream.
-pub(crate) fn cancelled(service: ServiceName, run: RunId) -> RunReport {
+pub(crate) fn cancelled_report(service: ServiceName, run: RunId) -> RunReport {
     RunReport {
         run,
         service,
--- a/crates/dragonflystep_edge/src/peer_service.rs
+++ b/crates/dragonflystep_edge/src/peer_service.rs
@@ -1,7 +1,9 @@
 //! Handles the connections and calls of other nodes.
 
 use {
-    crate::{exchange::exchange_with, list_fetch::fetch_if_newer, node::Node, owner::cancelled},
+    crate::{
+        exchange::exchange_with, list_fetch::fetch_if_newer, node::Node, owner::cancelled_report,
+    },
     dragonflystep_dispatch::{
         ActiveRun, Event, NodeName, RunId, RunReport, ServiceName, SlotDecision, SlotRequest,
         UpstreamLoad, UpstreamNotice, UsageReport,
@@ -58,8 +60,8 @@
         if let Some(peer) = &*peer {
             node.members.record_contact(node.owner.now(), peer);
         }
-        if !node.owner.hears_majority() {
-            node.update_heard();
+        if !node.owner.has_majority_contact() {
+            node.update_recent_contacts();
         }
     }
 }
@@ -69,7 +71,7 @@
         self.note_slot_request();
         let (run, service) = (request.run, request.service.clone());
         let runs = self.runs.clone();
-        let decision = self.node.owner.clone().ask(request);
+        let decision = self.node.owner.clone().request_slot(request);
         Box::pin(async move {
             let decision = decision.await;
             if matches!(decision, SlotDecision::Granted(_)) {
@@ -81,14 +83,14 @@
 
     fn report_run_end(&self, ended: RunReport) {
         self.runs.borrow_mut().remove(&ended.run);
-        self.node.owner.ended(ended);
+        self.node.owner.report_run_end(ended);
     }
 
     fn adopt_runs(&self, runs: Vec<ActiveRun>) {
         for run in runs {
             let service = run.request.service.clone();
             self.runs.borrow_mut().insert(run.request.run, service);
-            self.node.owner.adopt(run);
+            self.node.owner.adopt_run(run);
         }
     }
 
@@ -103,7 +105,7 @@
 
     fn share_notices(&self, notices: Vec<UpstreamNotice>) {
         let peer = self.peer.borrow().clone().unwrap_or_default();
-        self.node.learn_notices(notices, &peer);
+        self.node.apply_notices(notices, &peer);
     }
 
     fn fetch_list_piece(&self, request: ListPieceRequest) -> ListPiece {
@@ -128,7 +130,9 @@
     fn drop(&mut self) {
         // The node stopped or the connection was lost. A node that is still running reports its runs again.
         for (run, service) in self.runs.borrow_mut().drain() {
-            self.node.owner.ended(cancelled(service, run));
+            self.node
+                .owner
+                .report_run_end(cancelled_report(service, run));
         }
     }
 }
--- a/crates/dragonflystep_edge/src/platform.rs
+++ b/crates/dragonflystep_edge/src/platform.rs
@@ -11,7 +11,7 @@
 
 /// An adapter of the platform.
 ///
-/// It passes documents to the node ([`Node::learn_catalogue`], [`Node::learn_registry`], [`Node::learn_members`])
+/// It passes documents to the node ([`Node::apply_catalogue`], [`Node::apply_registry`], [`Node::apply_members`])
 /// and keeps the node's entry in the platform's list of nodes.
 pub trait Platform {
     /// Follows the platform's documents for as long as the node runs.
--- a/crates/dragonflystep_edge/src/relay.rs
+++ b/crates/dragonflystep_edge/src/relay.rs
@@ -6,14 +6,14 @@
 
 use {
     crate::{
-        answer::{AnswerBody, AnswerCut, end_to_end_headers},
+        answer::{AnswerBody, IncompleteAnswer, end_to_end_headers},
         attempts::Attempts,
         burn::{CALLER_LEFT, FAILED, IN_TIME, LATE},
         dialect::AnswerFacts,
         event_stream::{EventSplitter, StreamEvent},
         job::{DispatchOutcome, Job, ms},
-        limits::{LATE_ANSWER_MARGIN, LONGEST_PLAIN_ANSWER_BYTES, STREAM_PIECES},
-        placing::{Place, RunFigures},
+        limits::{LATE_ANSWER_MARGIN, MAX_PLAIN_ANSWER_BYTES, STREAM_BUFFER_CHUNKS},
+        slots::{RunStats, Slot},
         upstream_connections::OpenConnection,
     },
     bytes::Bytes,
@@ -33,7 +33,7 @@
 /// answer as a success.
 pub(crate) async fn buffer_answer(
     job: &Rc<Job>,
-    slot: Place,
+    slot: Slot,
     response: Response<Incoming>,
     connection: OpenConnection,
     facts: &AnswerFacts,
@@ -42,18 +42,18 @@
     let time_limit = job.time_left() + LATE_ANSWER_MARGIN;
     let body = match timeout(
         time_limit,
-        Limited::new(body, LONGEST_PLAIN_ANSWER_BYTES).collect(),
+        Limited::new(body, MAX_PLAIN_ANSWER_BYTES).collect(),
     )
     .await
     {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             log::info!(request:% = job.facts.request_id, upstream:% = slot.grant.upstream, error:%; "an answer was cut");
-            slot.end(RunOutcome::Broken, RunFigures::default());
+            slot.end(RunOutcome::Broken, RunStats::default());
             return DispatchOutcome::Unknown("answer_cut");
         }
         Err(_) => {
-            slot.end(RunOutcome::Cancelled, RunFigures::default());
+            slot.end(RunOutcome::Cancelled, RunStats::default());
             return DispatchOutcome::Unknown("timeout");
         }
     };
@@ -66,7 +66,7 @@
     } else {
         RunOutcome::Completed
     };
-    slot.end(outcome, RunFigures::default());
+    slot.end(outcome, RunStats::default());
     if implies_not_run(head.status) {
         // To the caller, this status would say that the request did not run. The upstream did not state that.
         return DispatchOutcome::Unknown("upstream_failed");
@@ -90,7 +90,7 @@
 
 /// An upstream's stream that is being relayed to the caller.
 pub(crate) struct Relay {
-    slot: Place,
+    slot: Slot,
     response: Response<Incoming>,
     connection: OpenConnection,
     /// How long the upstream keeps the connection open once it is idle, if it said so.
@@ -99,7 +99,7 @@
 
 /// The caller's side of a stream, which may come from several upstreams in turn.
 struct CallerStream {
-    chunks: mpsc::Sender<Result<Bytes, AnswerCut>>,
+    chunks: mpsc::Sender<Result<Bytes, IncompleteAnswer>>,
     /// The id of the last event with an id that was sent to the caller.
     last_event_id: Option<String>,
     /// Time from the arrival of the request to the first event of an upstream. Each further upstream that sends an
@@ -119,7 +119,7 @@
 
 impl Relay {
     pub(crate) fn new(
-        slot: Place,
+        slot: Slot,
         response: Response<Incoming>,
         connection: OpenConnection,
         keep_alive: Option<Duration>,
@@ -134,7 +134,7 @@
 
     /// Starts to relay the stream and returns the answer, whose body receives the events.
     pub(crate) fn start(self, job: Rc<Job>, attempts: Attempts) -> Response<AnswerBody> {
-        let (sender, chunks) = mpsc::channel(STREAM_PIECES);
+        let (sender, chunks) = mpsc::channel(STREAM_BUFFER_CHUNKS);
         let mut answer = Response::new(AnswerBody::Streamed(chunks));
         *answer.status_mut() = self.response.status();
         *answer.headers_mut() = end_to_end_headers(self.response.headers());
@@ -153,17 +153,17 @@
     async fn forward_events(self, job: &Job, caller: &mut CallerStream) -> RelayEnd {
         let mut body = self.response.into_body();
         let mut splitter = EventSplitter::default();
-        let mut figures = RunFigures::default();
+        let mut stats = RunStats::default();
         let mut last_event_at = Duration::ZERO;
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
                 () = caller.chunks.closed() => {
-                    self.slot.end(RunOutcome::Cancelled, figures);
+                    self.slot.end(RunOutcome::Cancelled, stats);
                     return RelayEnd::CallerDisconnected;
                 }
                 () = sleep(job.time_left() + LATE_ANSWER_MARGIN) => {
-                    self.slot.end(RunOutcome::Cancelled, figures);
+                    self.slot.end(RunOutcome::Cancelled, stats);
                     return RelayEnd::TimedOut;
                 }
             };
@@ -174,40 +174,40 @@
                     };
                     splitter.push(&data);
                     while let Some(event) = splitter.next_event() {
-                        figures.events += 1;
+                        stats.events += 1;
                         let elapsed = self.slot.elapsed();
-                        if figures.to_first_event.is_some() {
+                        if stats.time_to_first_event.is_some() {
                             let pause = elapsed.saturating_sub(last_event_at);
-                            figures.longest_pause = figures.longest_pause.max(pause);
+                            stats.longest_pause = stats.longest_pause.max(pause);
                         }
                         last_event_at = elapsed;
-                        if figures.to_first_event.is_none() {
-                            figures.to_first_event = Some(elapsed);
+                        if stats.time_to_first_event.is_none() {
+                            stats.time_to_first_event = Some(elapsed);
                             let name = &job.route.name;
                             let metrics = &job.node.metrics;
                             metrics.observe("to_first_event_ms", name, elapsed);
                             caller.first_event_after = Some(job.arrived.elapsed());
                         }
                         if caller.forward(event).await.is_err() {
-                            self.slot.end(RunOutcome::Cancelled, figures);
+                            self.slot.end(RunOutcome::Cancelled, stats);
                             return RelayEnd::CallerDisconnected;
                         }
                     }
                 }
                 Some(Err(error)) => {
-                    log::info!(request:% = job.facts.request_id, upstream:% = self.slot.grant.upstream, events = figures.events, error:%; "a stream broke off");
-                    self.slot.end(RunOutcome::Broken, figures);
+                    log::info!(request:% = job.facts.request_id, upstream:% = self.slot.grant.upstream, events = stats.events, error:%; "a stream broke off");
+                    self.slot.end(RunOutcome::Broken, stats);
                     return RelayEnd::Broken;
                 }
                 None => {
                     let remainder = splitter.take_remainder();
                     if !remainder.bytes.is_empty() && caller.forward(remainder).await.is_err() {
-                        self.slot.end(RunOutcome::Cancelled, figures);
+                        self.slot.end(RunOutcome::Cancelled, stats);
                         return RelayEnd::CallerDisconnected;
                     }
                     job.node.connections.keep(self.connection, self.keep_alive);
-                    caller.longest_pause = caller.longest_pause.max(figures.longest_pause);
-                    self.slot.end(RunOutcome::Completed, figures);
+                    caller.longest_pause = caller.longest_pause.max(stats.longest_pause);
+                    self.slot.end(RunOutcome::Completed, stats);
                     return RelayEnd::Complete;
                 }
             }
@@ -217,7 +217,7 @@
 
 impl CallerStream {
     /// Sends an event to the caller, unless the caller already received it from an earlier upstream.
-    async fn forward(&mut self, event: StreamEvent) -> Result<(), AnswerCut> {
+    async fn forward(&mut self, event: StreamEvent) -> Result<(), IncompleteAnswer> {
         if let Some(id) = event.id {
             if self.has_received(&id) {
                 return Ok(());
@@ -227,7 +227,7 @@
         self.chunks
             .send(Ok(event.bytes))
             .await
-            .map_err(|_| AnswerCut)
+            .map_err(|_| IncompleteAnswer)
     }
 
     /// Whether the first event met the objective and the longest pause was within the limit of the route.
@@ -284,7 +284,7 @@
             job.node.metrics.count("streams_cut_total", &job.route.name);
             job.count_end(FAILED);
             // Sending fails only if the caller has disconnected meanwhile; its connection is closed either way.
-            let _ = caller.chunks.send(Err(AnswerCut)).await;
+            let _ = caller.chunks.send(Err(IncompleteAnswer)).await;
             return;
         };
         relay = next;
--- a/crates/dragonflystep_edge/src/request.rs
+++ b/crates/dragonflystep_edge/src/request.rs
@@ -3,10 +3,10 @@
 use {
     crate::{
         answer::AnswerBody,
-        answers_of_own::LocalReply,
         dialect::RequestFacts,
         job::Job,
-        limits::{DEFAULT_TIME_LEFT, ELSEWHERE_RETRY_AFTER},
+        limits::{DEFAULT_TIME_LEFT, OTHER_NODE_RETRY_AFTER},
+        local_reply::LocalReply,
         node::Node,
         stop::{OpenRequest, StopSignal},
     },
@@ -60,10 +60,10 @@
     open_request: OpenRequest,
 ) -> Result<Rc<Job>, LocalReply> {
     let Some(table) = node.views.catalogue() else {
-        return Err(LocalReply::not_run("starting", ELSEWHERE_RETRY_AFTER));
+        return Err(LocalReply::not_run("starting", OTHER_NODE_RETRY_AFTER));
     };
     if node.stop.refuses_new() {
-        return Err(LocalReply::not_run("stopping", ELSEWHERE_RETRY_AFTER));
+        return Err(LocalReply::not_run("stopping", OTHER_NODE_RETRY_AFTER));
     }
     let resolved = table
         .find(
--- a/crates/dragonflystep_edge/src/rollouts.rs
+++ b/crates/dragonflystep_edge/src/rollouts.rs
@@ -24,7 +24,7 @@
 
 /// An order to roll out a version of a service, with its current phase, as nodes and the platform exchange it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutStatus {
     /// The service whose upstreams get the new version.
     pub service: ServiceName,
     /// The version that the service's requests are to move to.
@@ -64,11 +64,11 @@
 }
 
 impl Rollouts {
-    fn merge(&self, now: MonotonicTime, news: &RolloutNews) -> MergeEffect {
+    fn merge(&self, now: MonotonicTime, news: &RolloutStatus) -> MergeEffect {
         let mut known = self.known.borrow_mut();
         let order = RolloutOrder {
             service: news.service.clone(),
-            to: news.to.clone(),
+            target_version: news.to.clone(),
             number: news.number,
             ends_at: now + news.left,
         };
@@ -82,7 +82,8 @@
             known.insert(news.service.clone(), KnownRollout { order, phase });
             return MergeEffect::Order;
         };
-        if before.order.to == news.to && is_same_order(before.order.number, news.number) {
+        if before.order.target_version == news.to && is_same_order(before.order.number, news.number)
+        {
             if before.phase == news.phase || news.phase == RolloutPhase::Serving {
                 return MergeEffect::Unchanged;
             }
@@ -116,11 +117,11 @@
         }
     }
 
-    fn all(&self, now: MonotonicTime) -> Vec<RolloutNews> {
+    fn all(&self, now: MonotonicTime) -> Vec<RolloutStatus> {
         let known = self.known.borrow();
-        let news = known.values().map(|known| RolloutNews {
+        let news = known.values().map(|known| RolloutStatus {
             service: known.order.service.clone(),
-            to: known.order.to.clone(),
+            to: known.order.target_version.clone(),
             number: known.order.number,
             left: known.order.ends_at.saturating_sub(now),
             phase: known.phase,
@@ -131,7 +132,7 @@
 
 impl Node {
     /// Applies a roll-out that the platform or another node reported. `source` names its origin in the log.
-    pub fn learn_rollout(&self, news: &RolloutNews, source: &str) {
+    pub fn apply_rollout(&self, news: &RolloutStatus, source: &str) {
         let now = self.owner.now();
         let merged = self.rollouts.merge(now, news);
         if merged == MergeEffect::Unchanged {
@@ -151,7 +152,7 @@
     }
 
     /// Removes the order of a service that the operator withdrew.
-    pub fn learn_rollout_withdrawn(&self, service: &ServiceName) {
+    pub fn apply_rollout_withdrawal(&self, service: &ServiceName) {
         if self.rollouts.known.borrow_mut().remove(service).is_some() {
             log::info!(service:%; "roll-out withdrawn");
             let withdrawn = Event::RolloutWithdrawn(service.clone());
@@ -160,7 +161,7 @@
     }
 
     /// The roll-outs that this node knows, as of now.
-    pub fn rollouts(&self) -> Vec<RolloutNews> {
+    pub fn rollouts(&self) -> Vec<RolloutStatus> {
         self.rollouts.all(self.owner.now())
     }
 
@@ -170,7 +171,7 @@
         let known = self.rollouts.known.borrow();
         let known = known.get(&step.order.service);
         known.is_some_and(|known| {
-            known.order.to == step.order.to
+            known.order.target_version == step.order.target_version
                 && (known.phase == RolloutPhase::Serving || known.phase == step.phase)
         })
     }
@@ -188,14 +189,14 @@
     }
 
     /// Decodes and applies the roll-outs that another node sent.
-    pub(crate) fn learn_rollouts(&self, bytes: &[u8], peer: &str) {
+    pub(crate) fn apply_rollouts(&self, bytes: &[u8], peer: &str) {
         if bytes.is_empty() {
             return;
         }
-        match serde_json::from_slice::<Vec<RolloutNews>>(bytes) {
+        match serde_json::from_slice::<Vec<RolloutStatus>>(bytes) {
             Ok(all) => {
                 for news in &all {
-                    self.learn_rollout(news, peer);
+                    self.apply_rollout(news, peer);
                 }
             }
             Err(error) => {
@@ -210,7 +211,7 @@
     loop {
         let step = node.rollouts.next_step().await;
         let order = &step.order;
-        log::info!(service:% = order.service, to:% = order.to, number = order.number, phase:? = step.phase, evidence:% = step.reason; "roll-out step");
+        log::info!(service:% = order.service, to:% = order.target_version, number = order.number, phase:? = step.phase, evidence:% = step.reason; "roll-out step");
         node.metrics.count("rollout_steps_total", step.phase.name());
         spawn_local(platform.clone().publish_rollout(node.clone(), step));
     }
--- a/crates/dragonflystep_edge/src/server.rs
+++ b/crates/dragonflystep_edge/src/server.rs
@@ -34,7 +34,7 @@
 
 /// The purpose of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Door {
+pub(crate) enum ListenerKind {
     Ingress,
     Readiness,
     Directory,
@@ -43,13 +43,13 @@
 
 /// Accepts and serves the connections of one listener for as long as the node runs. Connections beyond the configured
 /// number are closed at once.
-pub(crate) async fn serve_door(node: Rc<Node>, listener: TcpListener, door: Door) {
+pub(crate) async fn serve_listener(node: Rc<Node>, listener: TcpListener, kind: ListenerKind) {
     let open_connections = Rc::new(Cell::new(0_usize));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(door:? = door, error:%; "can't accept a connection");
+                log::warn!(door:? = kind, error:%; "can't accept a connection");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -65,7 +65,7 @@
         let (node, open_connections) = (node.clone(), open_connections.clone());
         spawn_local(async move {
             open_connections.set(open_connections.get() + 1);
-            serve_connection(node, stream, door).await;
+            serve_connection(node, stream, kind).await;
             open_connections.set(open_connections.get() - 1);
         });
     }
@@ -79,12 +79,12 @@
 
 /// Serves one connection until it ends. A head that takes too long closes it at once; an idle timeout or the stop of
 /// the node closes it after the answer in progress.
-async fn serve_connection(node: Rc<Node>, stream: TcpStream, door: Door) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream, kind: ListenerKind) {
     let times = ConnectionTimes::new();
     let io = CheckedConnection::new(stream, times.clone());
     let service = service_fn(|request| {
         let (node, times) = (node.clone(), times.clone());
-        async move { Ok::<_, Infallible>(handle_request(node, times, door, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(node, times, kind, request).await) }
     });
     let buffer = client_limits(&node).max_header_bytes + BUFFER_MARGIN_BYTES;
     let connection = http1::Builder::new()
@@ -148,16 +148,18 @@
 async fn handle_request(
     node: Rc<Node>,
     times: Rc<ConnectionTimes>,
-    door: Door,
+    kind: ListenerKind,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     times.is_serving.set(true);
     let _guard = ServingGuard(times);
-    let mut response = match door {
-        Door::Ingress => serve_request(&node, request).await,
-        Door::Readiness => readiness_response(&node, &request),
-        Door::Directory => directory_response(&node, &request),
-        Door::Metrics => text_response(StatusCode::OK, node.metrics.to_text(&node.gauges())),
+    let mut response = match kind {
+        ListenerKind::Ingress => serve_request(&node, request).await,
+        ListenerKind::Readiness => readiness_response(&node, &request),
+        ListenerKind::Directory => directory_response(&node, &request),
+        ListenerKind::Metrics => {
+            text_response(StatusCode::OK, node.metrics.to_text(&node.gauges()))
+        }
     };
     if node.stop.is_stopping() {
         let close = HeaderValue::from_static("close");
@@ -177,7 +179,10 @@
 }
 
 fn readiness_response(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
-    if !node.dialect.is_readiness(request.method(), request.uri()) {
+    if !node
+        .dialect
+        .is_readiness_probe(request.method(), request.uri())
+    {
         return text_response(StatusCode::NOT_FOUND, String::new());
     }
     if node.is_ready() {
@@ -188,7 +193,10 @@
 
 /// Answers a query for node addresses. A stopping node still answers, with the addresses of other nodes only.
 fn directory_response(node: &Node, request: &Request<Incoming>) -> Response<AnswerBody> {
-    let Some(query) = node.dialect.read_directory(request.method(), request.uri()) else {
+    let Some(query) = node
+        .dialect
+        .read_directory_query(request.method(), request.uri())
+    else {
         return text_response(StatusCode::NOT_FOUND, String::new());
     };
     if !node.is_ready() && !node.stop.is_stopping() {
--- a/crates/dragonflystep_edge/src/placing.rs
+++ b/crates/dragonflystep_edge/src/slots.rs
@@ -5,9 +5,9 @@
     crate::{
         dialect::AnswerFacts,
         entry_runs::EntryRun,
-        limits::{MOST_OWNERS_ASKED, OWNER_SIGN_TIMEOUT, OWNER_SILENCE},
+        limits::{MAX_OWNERS_ASKED, OWNER_PROBE_DELAY, OWNER_PROBE_TIMEOUT},
         node::Node,
-        owner::cancelled,
+        owner::cancelled_report,
         upstream_notices::ObservedAnswer,
     },
     dragonflystep_dispatch::{
@@ -24,8 +24,8 @@
 
 /// A slot at an upstream that the owner granted to a request. It is held until the end of the run is reported.
 ///
-/// Dropping it without a call of [`Place::end`] reports the run as cancelled.
-pub struct Place {
+/// Dropping it without a call of [`Slot::end`] reports the run as cancelled.
+pub struct Slot {
     node: Rc<Node>,
     run: RunId,
     service: dragonflystep_dispatch::ServiceName,
@@ -37,16 +37,16 @@
 
 /// Event count and timings of one run, as the entry node observed them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RunFigures {
+pub struct RunStats {
     /// Time from the grant of the slot to the first event; none before that, and for plain calls.
-    pub to_first_event: Option<Duration>,
+    pub time_to_first_event: Option<Duration>,
     /// Events of the stream that have arrived.
     pub events: u32,
     /// Longest pause between two consecutive events.
     pub longest_pause: Duration,
 }
 
-impl Place {
+impl Slot {
     /// Time since this node was granted the slot.
     pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
@@ -80,16 +80,14 @@
     /// back off and is not leaving.
     pub(crate) fn accepts_requests(&self) -> bool {
         let (node, upstream) = (&self.node, &self.grant.upstream);
-        let must_back_off = node
-            .owner
-            .wants_back_off_from(upstream, node.node_incarnation());
+        let must_back_off = node.owner.is_backed_off(upstream, node.node_incarnation());
         !must_back_off && !node.owner.is_leaving(upstream)
     }
 
     /// Returns the slot unused and sends the owner the notices by which the upstream accepts no requests.
     pub(crate) fn return_unused(self) {
         self.share_notices(self.node.owner.notices());
-        self.end(RunOutcome::Withheld, RunFigures::default());
+        self.end(RunOutcome::Withheld, RunStats::default());
     }
 
     /// Reports to the owner that requests are queued at the upstream.
@@ -124,11 +122,11 @@
     }
 
     /// Reports to the owner how the run ended.
-    pub fn end(mut self, outcome: RunOutcome, figures: RunFigures) {
-        self.report_end(outcome, figures);
+    pub fn end(mut self, outcome: RunOutcome, stats: RunStats) {
+        self.report_end(outcome, stats);
     }
 
-    fn report_end(&mut self, outcome: RunOutcome, figures: RunFigures) {
+    fn report_end(&mut self, outcome: RunOutcome, stats: RunStats) {
         self.is_ended = true;
         let metrics = &self.node.metrics;
         metrics.count("upstream_outcomes_total", outcome.name());
@@ -136,25 +134,25 @@
         let Some(run) = runs.runs.borrow_mut().remove(&self.run) else {
             return;
         };
-        if !outcome.has_run() {
+        if !outcome.may_have_run() {
             runs.record_usage(self.node.owner.now(), &run, -1.0);
         }
         let report = RunReport {
             run: self.run,
             service: self.service.clone(),
             outcome,
-            to_first_event: figures.to_first_event,
+            to_first_event: stats.time_to_first_event,
             to_end: self.elapsed(),
-            events: figures.events,
+            events: stats.events,
         };
         report_run_end(&self.node, &run.owner.0, report);
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         if !self.is_ended {
-            self.report_end(RunOutcome::Cancelled, RunFigures::default());
+            self.report_end(RunOutcome::Cancelled, RunStats::default());
         }
     }
 }
@@ -165,17 +163,17 @@
 ///
 /// # Errors
 /// When the deciding node refuses the request; it has not run.
-pub async fn obtain(
+pub async fn acquire_slot(
     node: &Rc<Node>,
     mut request: SlotRequest,
-) -> Result<Place, dragonflystep_dispatch::Refusal> {
+) -> Result<Slot, dragonflystep_dispatch::Refusal> {
     let started = Instant::now();
     let (objective_left, time_left) = (request.objective_left, request.time_left);
-    let ranked = node.ranked_owners(MOST_OWNERS_ASKED + 1);
+    let ranked = node.ranked_owners(MAX_OWNERS_ASKED + 1);
     node.note_owner(ranked.first());
     let mut owners_asked = 0;
     for owner in ranked {
-        if owner == node.settings.node || owners_asked == MOST_OWNERS_ASKED {
+        if owner == node.settings.node || owners_asked == MAX_OWNERS_ASKED {
             break;
         }
         let Some(link) = node.members.link(&owner) else {
@@ -188,16 +186,18 @@
             Ok(decision) => {
                 return accept_decision(node, request, (owner, link.generation()), decision);
             }
-            Err(error) => node.members.failed(node.owner.now(), &owner, &error),
+            Err(error) => node
+                .members
+                .record_failure(node.owner.now(), &owner, &error),
         }
     }
     request.objective_left = objective_left.saturating_sub(started.elapsed());
     request.time_left = time_left.saturating_sub(started.elapsed());
     let owner = (node.settings.node.clone(), 0);
-    node.update_heard();
+    node.update_recent_contacts();
     let now = node.owner.now();
     for run in node.entry_runs.reassign(now, &request.service, &owner) {
-        node.owner.adopt(run);
+        node.owner.adopt_run(run);
     }
     if let Some(report) = node
         .entry_runs
@@ -205,7 +205,7 @@
     {
         node.owner.apply(Event::UsageReported(report));
     }
-    let decision = node.owner.clone().ask(request.clone()).await;
+    let decision = node.owner.clone().request_slot(request.clone()).await;
     accept_decision(node, request, owner, decision)
 }
 
@@ -215,12 +215,12 @@
     request: SlotRequest,
     owner: (NodeName, u64),
     decision: SlotDecision,
-) -> Result<Place, dragonflystep_dispatch::Refusal> {
+) -> Result<Slot, dragonflystep_dispatch::Refusal> {
     let grant = match decision {
         SlotDecision::Granted(grant) => grant,
         SlotDecision::Refused(refusal) => return Err(refusal),
     };
-    let slot = Place {
+    let slot = Slot {
         node: node.clone(),
         run: request.run,
         service: request.service.clone(),
@@ -265,11 +265,11 @@
                 guard.is_armed = false;
                 return decision;
             }
-            () = sleep(OWNER_SILENCE) => {}
+            () = sleep(OWNER_PROBE_DELAY) => {}
         }
-        if link.silent_for() >= OWNER_SILENCE {
+        if link.silent_for() >= OWNER_PROBE_DELAY {
             let digest = node.empty_digest();
-            if let Err(error) = link.exchange(&digest, OWNER_SIGN_TIMEOUT).await {
+            if let Err(error) = link.exchange(&digest, OWNER_PROBE_TIMEOUT).await {
                 guard.is_armed = false;
                 return Err(error);
             }
@@ -337,7 +337,7 @@
 impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            let report = cancelled(self.request.service.clone(), self.request.run);
+            let report = cancelled_report(self.request.service.clone(), self.request.run);
             report_run_end(self.node, self.owner, report);
         }
     }
@@ -346,7 +346,7 @@
 /// Reports the end of a run, or of the wait for a slot, to its owner.
 fn report_run_end(node: &Rc<Node>, owner: &NodeName, report: RunReport) {
     if *owner == node.settings.node {
-        node.owner.ended(report);
+        node.owner.report_run_end(report);
         return;
     }
     let Some(link) = node.members.link(owner) else {
--- a/crates/dragonflystep_edge/src/upstream_connections.rs
+++ b/crates/dragonflystep_edge/src/upstream_connections.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::limits::{
-        DEFAULT_KEEP_ALIVE, KEPT_CONNECTION_SHARE, MOST_IDLE_CONNECTIONS, UPSTREAM_CONNECT_TIMEOUT,
+        DEFAULT_KEEP_ALIVE, MAX_IDLE_CONNECTIONS, UPSTREAM_CONNECT_TIMEOUT, USABLE_KEEP_ALIVE_SHARE,
     },
     bytes::Bytes,
     dragonflystep_peer::{KeepaliveLimits, configure_stream},
@@ -87,10 +87,10 @@
         let now = Instant::now();
         connections
             .retain(|connection| connection.usable_until > now && !connection.sender.is_closed());
-        if connections.len() < MOST_IDLE_CONNECTIONS {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(IdleConnection {
                 sender: connection.sender,
-                usable_until: now + idle_time.mul_f64(KEPT_CONNECTION_SHARE),
+                usable_until: now + idle_time.mul_f64(USABLE_KEEP_ALIVE_SHARE),
             });
         }
     }
--- a/crates/dragonflystep_edge/src/upstream_notices.rs
+++ b/crates/dragonflystep_edge/src/upstream_notices.rs
@@ -38,7 +38,7 @@
     }
 
     /// Applies notices that another node received from upstreams.
-    pub(crate) fn learn_notices(&self, notices: Vec<UpstreamNotice>, source: &str) {
+    pub(crate) fn apply_notices(&self, notices: Vec<UpstreamNotice>, source: &str) {
         for notice in notices {
             self.apply_notice(&notice, source, "");
         }
@@ -105,7 +105,7 @@
     }
 
     fn read_back_off(&self, answer: &ObservedAnswer<'_>) -> Option<(NoticeKind, Duration)> {
-        match &answer.facts.rest {
+        match &answer.facts.back_off {
             Stated::Value(duration) => {
                 self.metrics.count("upstream_notices_total", "rest");
                 let (node, duration) = (self.node_incarnation(), *duration);
--- a/crates/dragonflystep_peer/src/codec.rs
+++ b/crates/dragonflystep_peer/src/codec.rs
@@ -37,10 +37,12 @@
         entry.set_id(segment.id);
         entry.set_tokens(segment.tokens);
     }
-    out.set_attempt(request.attempt);
-    let mut avoid = out.reborrow().init_avoid(request.avoid.len() as u32);
-    for (index, upstream) in request.avoid.iter().enumerate() {
-        avoid.set(index as u32, &**upstream);
+    out.set_attempt(request.previous_attempts);
+    let mut excluded = out
+        .reborrow()
+        .init_avoid(request.excluded_upstreams.len() as u32);
+    for (index, upstream) in request.excluded_upstreams.iter().enumerate() {
+        excluded.set(index as u32, &**upstream);
     }
     out.set_fingerprint(request.fingerprint);
     out.set_data_centre(&*request.data_centre);
@@ -68,8 +70,8 @@
             output_tokens: input.get_output_tokens(),
             segments: segments.collect(),
         },
-        attempt: input.get_attempt(),
-        avoid: decode_text_list(input.get_avoid()?)?,
+        previous_attempts: input.get_attempt(),
+        excluded_upstreams: decode_text_list(input.get_avoid()?)?,
         fingerprint: input.get_fingerprint(),
         data_centre: input.get_data_centre()?.to_str()?.into(),
     })
@@ -211,7 +213,7 @@
 
 pub(crate) fn encode_usage(report: &UsageReport, mut out: spending_report::Builder<'_>) {
     out.set_node(&*report.node);
-    out.set_covers_us(to_us(report.covers));
+    out.set_covers_us(to_us(report.coverage));
     let mut accounts = out.init_accounts(report.accounts.len() as u32);
     for (index, usage) in report.accounts.iter().enumerate() {
         encode_account(usage, accounts.reborrow().get(index as u32));
@@ -233,7 +235,7 @@
     let accounts = input.get_accounts()?.iter().map(decode_account);
     Ok(UsageReport {
         node: input.get_node()?.to_str()?.into(),
-        covers: Duration::from_micros(input.get_covers_us()),
+        coverage: Duration::from_micros(input.get_covers_us()),
         accounts: accounts.collect::<Result<_, _>>()?,
     })
 }
--- a/src/cli/edge_report.rs
+++ b/src/cli/edge_report.rs
@@ -47,7 +47,7 @@
                 Err(error) => missing.push(format!("{address}: {error}")),
             }
         }
-        let report = EdgeBurnReport::of_pages(self.objective_share, &pages, missing);
+        let report = EdgeBurnReport::from_pages(self.objective_share, &pages, missing);
         match self.format.as_str() {
             "text" => output::text(&report.to_text()),
             "json" => output::text(&serde_json::to_string_pretty(&report)?),
