--- a/crates/dragonflystep_dispatch/src/dispatcher.rs
+++ b/crates/dragonflystep_dispatch/src/dispatcher.rs
@@ -55,7 +55,7 @@
 /// Something that happened and that the dispatcher reacts to.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An entry node asks for a slot.
+    /// An entry node requests a slot.
     SlotRequested(SlotRequest),
     /// An entry node no longer waits for a slot, for example because the caller left.
     RequestWithdrawn(ServiceName, RunId),
--- a/crates/dragonflystep_dispatch/src/lib.rs
+++ b/crates/dragonflystep_dispatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! Scheduling decisions, without any I/O: which route and account a request belongs to, which node owns a service,
 //! and which requests are queued, refused or placed at an upstream.
 //!
-//! The node that receives a request from a caller is the request's entry node. It asks the owner of the service for a
-//! slot, which is the capacity of an upstream for one run. A run is one dispatch of a request to an upstream.
+//! The node that receives a request from a caller is the request's entry node. It requests a slot from the owner of
+//! the service. A slot is the capacity of an upstream for one run. A run is one dispatch of a request to an upstream.
 //!
 //! Each node drives one [`Dispatcher`] for the services that it owns. The dispatcher is a state machine: it takes
 //! [`Event`]s together with the time at which they happened and returns [`Effect`]s. The same code runs in a node, in
--- a/crates/dragonflystep_dispatch/src/notices.rs
+++ b/crates/dragonflystep_dispatch/src/notices.rs
@@ -1,6 +1,6 @@
 //! Notices: statements that upstreams make about themselves in their answers, with the time at which they were made.
 //!
-//! An upstream in trouble states the rate that it takes from all nodes together, or refuses requests and asks for a
+//! An upstream in trouble states the rate that it takes from all nodes together, or refuses requests and states a
 //! back-off. An upstream that is leaving announces it long before the registry shows it. Any node may be the first to
 //! receive a notice, and any node may own the services next. So each node keeps the notices with their times, which
 //! makes the result independent of the order in which they arrive: the latest rate statement and the back-off that ends
--- a/crates/dragonflystep_dispatch/src/queue.rs
+++ b/crates/dragonflystep_dispatch/src/queue.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) request: SlotRequest,
-    /// When it was first asked for; earlier than its arrival in the queue if it was refused before.
+    /// When its slot was first requested; earlier than its arrival in the queue if it was refused before.
     pub(crate) first_requested_at: MonotonicTime,
     /// Whether it was refused before and has come back.
     pub(crate) was_refused: bool,
--- a/crates/dragonflystep_dispatch/src/refused_requests.rs
+++ b/crates/dragonflystep_dispatch/src/refused_requests.rs
@@ -20,7 +20,7 @@
     first_attempts: HashMap<RequestFingerprint, FirstAttempt>,
 }
 
-/// When a refused request was first asked for, and how long that is remembered.
+/// When a slot was first requested for a refused request, and how long that is remembered.
 #[derive(Debug)]
 struct FirstAttempt {
     requested_at: MonotonicTime,
@@ -29,7 +29,7 @@
 }
 
 impl RefusedRequests {
-    /// Returns when the request was first asked for, if it was refused and its caller may still come back.
+    /// Returns when a slot was first requested for the request, if it was refused and its caller may still come back.
     pub(crate) fn first_requested_at(
         &self,
         now: MonotonicTime,
@@ -39,7 +39,7 @@
         (now < first_attempt.expires_at).then_some(first_attempt.requested_at)
     }
 
-    /// Records that `request`, first asked for at `first_requested_at`, is refused.
+    /// Records that `request`, whose slot was first requested at `first_requested_at`, is refused.
     pub(crate) fn record(
         &mut self,
         now: MonotonicTime,
--- a/crates/dragonflystep_dispatch/tests/quota_owners.rs
+++ b/crates/dragonflystep_dispatch/tests/quota_owners.rs
@@ -268,14 +268,14 @@
 
 #[test]
 fn an_account_within_its_quota_is_rarely_refused_across_owner_changes() {
-    let (mut refused, mut asked) = (0, 0);
+    let (mut refused, mut requested) = (0, 0);
     for seed in 1..=40 {
         // About half of the quota, in requests of a hundredth of the burst.
         let cluster = simulate_owner_changes(seed, LARGE, 1_450, true);
         refused += cluster.refused;
-        asked += cluster.requests;
+        requested += cluster.requests;
     }
-    assert!(refused * 100 < asked, "{refused} of {asked}");
+    assert!(refused * 100 < requested, "{refused} of {requested}");
 }
 
 /// Replays the changes of owner in the soak of seed 7, which exceeded a quota.
--- a/crates/dragonflystep_dispatch/tests/rest_replay.rs
+++ b/crates/dragonflystep_dispatch/tests/rest_replay.rs
@@ -55,7 +55,7 @@
     requests: u32,
     /// Requests that an upstream refused.
     refused: u32,
-    /// Largest number of refused requests that one node sent to one upstream during a back-off asked of that node.
+    /// Largest number of refused requests that one node sent to one upstream during a back-off requested of that node.
     max_refused_in_back_off: u32,
     served: u32,
 }
--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -46,12 +46,12 @@
         metrics.observe("queued_ms", &job.route.name, self.queued);
     }
 
-    /// The upstreams of all granted slots in order, which the next slot request avoids.
+    /// The upstreams of all granted slots in order, which the next slot request excludes.
     pub(crate) fn upstreams(&self) -> &[UpstreamId] {
         &self.tried
     }
 
-    /// Uncounts the last attempt because nothing was sent; its upstream is still avoided.
+    /// Uncounts the last attempt because nothing was sent; its upstream is still excluded.
     pub(crate) fn uncount_sent(&mut self) {
         self.sent -= 1;
     }
--- a/crates/dragonflystep_edge/src/burn.rs
+++ b/crates/dragonflystep_edge/src/burn.rs
@@ -41,7 +41,7 @@
 pub struct EdgeBurnReport {
     /// Share of requests that has to be in time.
     pub objective_share: f64,
-    /// The figures of each route, by its name.
+    /// The request counts of each route, by its name.
     pub routes: BTreeMap<String, RouteBurn>,
     /// Nodes whose metrics page could not be read; their requests are not counted.
     pub missing_nodes: Vec<String>,
--- a/crates/dragonflystep_edge/src/exchange.rs
+++ b/crates/dragonflystep_edge/src/exchange.rs
@@ -109,25 +109,25 @@
     digest.unavailable = node.members.own_unavailable();
     // If the other node receives this digest, it can be reached, whatever came of earlier calls.
     digest.unavailable.retain(|other| *other != peer);
-    let asked_at = node.owner.now();
+    let called_at = node.owner.now();
     match link.exchange(&digest, EXCHANGE_TIMEOUT).await {
         Ok(mut theirs) => {
             let now = node.owner.now();
-            let is_owner = node.is_first_or_current_owner(&peer);
+            let is_owner = node.is_preferred_or_current_owner(&peer);
             if node.members.record_answer(now, &peer, theirs.is_leaving) {
                 node.metrics.count("cuts_ended_total", "first_owner");
             }
             // Ages count from the time of the call, so that the transit time is added at each hop.
-            node.record_platform_answer(asked_at.saturating_sub(theirs.platform_silence));
+            node.record_platform_answer(called_at.saturating_sub(theirs.platform_silence));
             if theirs.platform_silence <= MAX_PLATFORM_SILENCE {
-                node.record_platform_uptime(asked_at.saturating_sub(theirs.platform_up_for));
+                node.record_platform_uptime(called_at.saturating_sub(theirs.platform_up_for));
             }
             node.note_peer_answered();
             node.handle_exchange_answer(&theirs, is_owner);
             // The ages of the notices count from the time of the call as well.
             let mut notices = std::mem::take(&mut theirs.notices);
             for notice in &mut notices {
-                notice.age += now.saturating_sub(asked_at);
+                notice.age += now.saturating_sub(called_at);
             }
             node.apply_notices(notices, &peer);
             fetch_if_newer(&node, &theirs);
--- a/crates/dragonflystep_edge/src/job.rs
+++ b/crates/dragonflystep_edge/src/job.rs
@@ -143,9 +143,9 @@
 
     /// Time until the caller gives up on a stream without a first event; unlimited if the route is no stream.
     fn first_event_wait_left(&self) -> Duration {
-        let longest_wait = self.node.dialect.first_event_timeout(&self.route);
-        longest_wait.map_or(Duration::MAX, |longest_wait| {
-            longest_wait.saturating_sub(self.arrived.elapsed())
+        let timeout = self.node.dialect.first_event_timeout(&self.route);
+        timeout.map_or(Duration::MAX, |timeout| {
+            timeout.saturating_sub(self.arrived.elapsed())
         })
     }
 
--- a/crates/dragonflystep_edge/src/lib.rs
+++ b/crates/dragonflystep_edge/src/lib.rs
@@ -1,4 +1,4 @@
-//! An edge node: accepts requests from callers, obtains a slot at an upstream for each of them from the node that
+//! An edge node: accepts requests from callers, acquires a slot at an upstream for each of them from the node that
 //! owns the services, and relays the answers.
 //!
 //! All nodes run the same program. [`run_node`] starts its parts: the [`Node`] with its state, the listeners for
--- a/crates/dragonflystep_edge/src/limits.rs
+++ b/crates/dragonflystep_edge/src/limits.rs
@@ -72,7 +72,7 @@
 /// has healed. More than the number of nodes that usually restart together.
 pub(crate) const REFUTATIONS_AFTER_PARTITION: usize = 3;
 
-/// A node that got no answer from a first owner for this long was cut off from it, and what it believes of other
+/// A node that got no answer from a preferred owner for this long was cut off from it, and what it believes of other
 /// nodes may be out of date.
 pub(crate) const MIN_OWNER_CUT_OFF: Duration = Duration::from_millis(1_500);
 
@@ -82,10 +82,10 @@
 /// Silence of an owner after which a node with a request waiting there sends the owner a probe.
 pub(crate) const OWNER_PROBE_DELAY: Duration = Duration::from_millis(80);
 
-/// Timeout of that probe. If it is not answered, the next owner is asked.
+/// Timeout of that probe. If it is not answered, the slot is requested from the next owner.
 pub(crate) const OWNER_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Maximum number of owners that are asked over the network before the node decides by itself.
+/// Maximum number of owners from which a slot is requested over the network before the node decides by itself.
 pub(crate) const MAX_OWNERS_ASKED: usize = 3;
 
 /// Interval at which the owner processes its queue while requests wait there.
@@ -108,7 +108,7 @@
 /// serve the request.
 pub(crate) const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Maximum number of buffered pieces of a stream to a slow caller.
+/// Maximum number of buffered chunks of a stream to a slow caller.
 pub(crate) const STREAM_BUFFER_CHUNKS: usize = 64;
 
 /// Maximum number of slots that are requested for one request. It bounds loops, not the number of attempts.
--- a/crates/dragonflystep_edge/src/list_version.rs
+++ b/crates/dragonflystep_edge/src/list_version.rs
@@ -12,7 +12,7 @@
 const TRANSACTION_BITS: u32 = 40;
 
 /// Set if the list comes from a node that knows the entries of the time before the era began.
-const RECALLS_BIT: u64 = 1 << (TRANSACTION_BITS + 1);
+const KNOWS_EARLIER_ERA_BIT: u64 = 1 << (TRANSACTION_BITS + 1);
 
 /// Position of the lowest bit of the era.
 const ERA_SHIFT: u32 = TRANSACTION_BITS + 2;
@@ -45,9 +45,9 @@
     /// assert!(after.version() > before.version());
     /// ```
     pub fn version(self) -> u64 {
-        let recalls = u64::from(self.knows_earlier_era) * RECALLS_BIT;
+        let knows_earlier = u64::from(self.knows_earlier_era) * KNOWS_EARLIER_ERA_BIT;
         let complete = u64::from(!self.awaits_entries) * COMPLETE_BIT;
-        self.era << ERA_SHIFT | recalls | self.transaction << 1 | complete
+        self.era << ERA_SHIFT | knows_earlier | self.transaction << 1 | complete
     }
 }
 
@@ -97,7 +97,7 @@
 /// Nodes with such a list accept only lists of such nodes as newer. Lists that they read from the store themselves
 /// must therefore count as such as well.
 pub fn knows_before(known: u64, era: u64) -> bool {
-    era_of(known) == era && known & RECALLS_BIT != 0
+    era_of(known) == era && known & KNOWS_EARLIER_ERA_BIT != 0
 }
 
 /// Whether a list of version `theirs` is to replace one of version `known`.
@@ -106,5 +106,5 @@
 /// entries that are still valid.
 pub(crate) fn supersedes(theirs: u64, known: u64) -> bool {
     let is_later_era = era_of(theirs) > era_of(known);
-    theirs > known && (known == 0 || !is_later_era || theirs & RECALLS_BIT != 0)
+    theirs > known && (known == 0 || !is_later_era || theirs & KNOWS_EARLIER_ERA_BIT != 0)
 }
--- a/crates/dragonflystep_edge/src/members.rs
+++ b/crates/dragonflystep_edge/src/members.rs
@@ -277,7 +277,7 @@
     }
 
     /// Nodes with which this one exchanges digests whether or not they are visible: its neighbours, and in a large
-    /// system the first owners.
+    /// system the preferred owners.
     pub(crate) fn direct_partners(&self) -> Vec<NodeName> {
         let mut partners = self.neighbours();
         if self.listed_count() > SMALL_SYSTEM_NODES {
--- a/crates/dragonflystep_edge/src/node.rs
+++ b/crates/dragonflystep_edge/src/node.rs
@@ -144,7 +144,7 @@
         wait.mul_f64(self.random.borrow_mut().random_range(factors))
     }
 
-    /// Logs and counts a change of the owner that this node asks for slots.
+    /// Logs and counts a change of the owner from which this node requests slots.
     pub(crate) fn note_owner(&self, owner: Option<&NodeName>) {
         let mut last = self.last_owner.borrow_mut();
         if last.as_ref() == owner {
@@ -166,7 +166,7 @@
         self.owner.visibility()
     }
 
-    /// The node that this one asks for slots.
+    /// The node from which this one requests slots.
     pub fn owner(&self) -> Option<NodeName> {
         self.ranked_owners(1).into_iter().next()
     }
--- a/crates/dragonflystep_edge/src/node/liveness.rs
+++ b/crates/dragonflystep_edge/src/node/liveness.rs
@@ -57,13 +57,13 @@
         first.contains(&self.settings.node)
     }
 
-    /// Whether all nodes call this one, as far as it knows: it is a first owner or the current owner.
+    /// Whether all nodes call this one, as far as it knows: it is a preferred owner or the current owner.
     pub(crate) fn is_called_by_all(&self) -> bool {
-        self.is_first_or_current_owner(&self.settings.node)
+        self.is_preferred_or_current_owner(&self.settings.node)
     }
 
-    /// Whether all nodes call the given one, as far as this node knows: it is a first owner or the current owner.
-    pub(crate) fn is_first_or_current_owner(&self, node: &NodeName) -> bool {
+    /// Whether all nodes call the given one, as far as this node knows: it is a preferred owner or the current owner.
+    pub(crate) fn is_preferred_or_current_owner(&self, node: &NodeName) -> bool {
         self.members.preferred_owners().contains(node) || self.ranked_owners(1).contains(node)
     }
 
@@ -160,11 +160,11 @@
     pub(crate) fn update_recent_contacts(&self) {
         let now = self.owner.now();
         let known = self.members.known_count();
-        let heard = self.members.recent_contact_count(now);
+        let contacts = self.members.recent_contact_count(now);
         // A node that has just started has heard from only a part of the nodes that call within the full window, so
         // the count is scaled up.
         let share_of_time = now.as_secs_f64() / RECENT_CONTACT_WINDOW.as_secs_f64();
-        let expected = heard as f64 / share_of_time.clamp(MIN_CONTACT_WINDOW_SHARE, 1.0);
+        let expected = contacts as f64 / share_of_time.clamp(MIN_CONTACT_WINDOW_SHARE, 1.0);
         let visible = (expected as usize).min(known);
         self.owner
             .set_recent_contacts(Visibility { visible, known });
--- a/crates/dragonflystep_edge/src/rollouts.rs
+++ b/crates/dragonflystep_edge/src/rollouts.rs
@@ -64,38 +64,39 @@
 }
 
 impl Rollouts {
-    fn merge(&self, now: MonotonicTime, news: &RolloutStatus) -> MergeEffect {
+    fn merge(&self, now: MonotonicTime, status: &RolloutStatus) -> MergeEffect {
         let mut known = self.known.borrow_mut();
         let order = RolloutOrder {
-            service: news.service.clone(),
-            target_version: news.to.clone(),
-            number: news.number,
-            ends_at: now + news.left,
+            service: status.service.clone(),
+            target_version: status.to.clone(),
+            number: status.number,
+            ends_at: now + status.left,
         };
         let is_full = known.len() >= MAX_ORDERS;
-        let Some(before) = known.get_mut(&news.service) else {
+        let Some(before) = known.get_mut(&status.service) else {
             if is_full {
-                log::error!(service:% = news.service; "too many roll-outs; ignoring a new one");
+                log::error!(service:% = status.service; "too many roll-outs; ignoring a new one");
                 return MergeEffect::Unchanged;
             }
-            let phase = news.phase;
-            known.insert(news.service.clone(), KnownRollout { order, phase });
+            let phase = status.phase;
+            known.insert(status.service.clone(), KnownRollout { order, phase });
             return MergeEffect::Order;
         };
-        if before.order.target_version == news.to && is_same_order(before.order.number, news.number)
+        if before.order.target_version == status.to
+            && is_same_order(before.order.number, status.number)
         {
-            if before.phase == news.phase || news.phase == RolloutPhase::Serving {
+            if before.phase == status.phase || status.phase == RolloutPhase::Serving {
                 return MergeEffect::Unchanged;
             }
-            before.phase = news.phase;
+            before.phase = status.phase;
             return MergeEffect::Phase;
         }
-        if news.number < before.order.number {
+        if status.number < before.order.number {
             return MergeEffect::Unchanged;
         }
         *before = KnownRollout {
             order,
-            phase: news.phase,
+            phase: status.phase,
         };
         MergeEffect::Order
     }
@@ -119,35 +120,35 @@
 
     fn all(&self, now: MonotonicTime) -> Vec<RolloutStatus> {
         let known = self.known.borrow();
-        let news = known.values().map(|known| RolloutStatus {
+        let statuses = known.values().map(|known| RolloutStatus {
             service: known.order.service.clone(),
             to: known.order.target_version.clone(),
             number: known.order.number,
             left: known.order.ends_at.saturating_sub(now),
             phase: known.phase,
         });
-        news.collect()
+        statuses.collect()
     }
 }
 
 impl Node {
     /// Applies a roll-out that the platform or another node reported. `source` names its origin in the log.
-    pub fn apply_rollout(&self, news: &RolloutStatus, source: &str) {
+    pub fn apply_rollout(&self, status: &RolloutStatus, source: &str) {
         let now = self.owner.now();
-        let merged = self.rollouts.merge(now, news);
+        let merged = self.rollouts.merge(now, status);
         if merged == MergeEffect::Unchanged {
             return;
         }
-        let known = self.rollouts.known.borrow().get(&news.service).cloned();
+        let known = self.rollouts.known.borrow().get(&status.service).cloned();
         let Some(known) = known else {
             return;
         };
-        log::info!(source, service:% = news.service, to:% = news.to, number = known.order.number, phase:? = known.phase, left_ms = news.left.as_millis() as u64; "roll-out known");
+        log::info!(source, service:% = status.service, to:% = status.to, number = known.order.number, phase:? = known.phase, left_ms = status.left.as_millis() as u64; "roll-out known");
         let number = known.order.number;
         if merged == MergeEffect::Order {
             self.owner.apply(Event::RolloutOrdered(known.order));
         }
-        let settled = Event::RolloutSettled(news.service.clone(), number, known.phase);
+        let settled = Event::RolloutSettled(status.service.clone(), number, known.phase);
         self.owner.apply(settled);
     }
 
@@ -195,8 +196,8 @@
         }
         match serde_json::from_slice::<Vec<RolloutStatus>>(bytes) {
             Ok(all) => {
-                for news in &all {
-                    self.apply_rollout(news, peer);
+                for status in &all {
+                    self.apply_rollout(status, peer);
                 }
             }
             Err(error) => {
--- a/crates/dragonflystep_edge/src/suspicion.rs
+++ b/crates/dragonflystep_edge/src/suspicion.rs
@@ -4,7 +4,7 @@
 //! It is designed for the end of a network partition between hundreds of nodes. The nodes of each side suspect
 //! those of the other and report it. If every node accepted all reports, the suspicions of both sides together
 //! would leave no node visible. An owner therefore accepts a suspicion only if the suspect has not contacted it
-//! either: all nodes call the first owners several times a second, and such a call refutes a suspicion of the
+//! either: all nodes call the preferred owners several times a second, and such a call refutes a suspicion of the
 //! caller. The other nodes accept a suspicion if all the owners that they reach report it.
 
 use {
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Applies the suspicions that an owner reports. A suspicion is accepted if all owners that were heard recently
-    /// report it.
+    /// Applies the suspicions that an owner reports. A suspicion is accepted if all owners that contacted this
+    /// node recently report it.
     ///
-    /// After a network partition, the owners of both sides are heard for a moment, and each is wrong about the
+    /// After a network partition, the owners of both sides contact this node for a moment, and each is wrong about the
     /// other side.
     pub(crate) fn apply_owner_suspicions(
         &mut self,
--- a/crates/dragonflystep_edge/src/upstream_health.rs
+++ b/crates/dragonflystep_edge/src/upstream_health.rs
@@ -83,12 +83,12 @@
     {
         return takes_requests;
     }
-    let asked = timeout(
+    let result = timeout(
         UPSTREAM_HEALTH_TIMEOUT,
-        ask_upstream(node, service, &path, grant),
+        send_health_check(node, service, &path, grant),
     )
     .await;
-    let takes_requests = match asked {
+    let takes_requests = match result {
         Ok(Ok(takes_requests)) => takes_requests,
         Ok(Err(error)) => {
             log::info!(upstream:% = grant.upstream, error:%; "health check of an upstream failed");
@@ -113,7 +113,7 @@
     (!path.is_empty()).then(|| path.clone())
 }
 
-async fn ask_upstream(
+async fn send_health_check(
     node: &Rc<Node>,
     service: &ServiceName,
     path: &str,
--- a/crates/dragonflystep_edge/src/upstream_notices.rs
+++ b/crates/dragonflystep_edge/src/upstream_notices.rs
@@ -127,8 +127,8 @@
         if let NoticeKind::BackOff { node, duration } = notice.kind
             && source == OWN_ANSWER
         {
-            let rest_ms = duration.as_millis() as u64;
-            log::info!(request = request_id, upstream:%, node_start = node, rest_ms; "upstream wants rest");
+            let back_off_ms = duration.as_millis() as u64;
+            log::info!(request = request_id, upstream:%, node_start = node, rest_ms = back_off_ms; "upstream wants rest");
         }
         if !was_leaving && self.owner.is_leaving(upstream) {
             log::info!(request = request_id, upstream:%, source; "upstream leaves");
--- a/crates/dragonflystep_peer/src/notice_codec.rs
+++ b/crates/dragonflystep_peer/src/notice_codec.rs
@@ -26,9 +26,9 @@
             NoticeKind::RateUnlimited => entry.set_rate_unlimited(()),
             NoticeKind::Leaving => entry.set_leaving(()),
             NoticeKind::BackOff { node, duration } => {
-                let mut resting = entry.init_resting();
-                resting.set_node(node);
-                resting.set_lasts_us(to_us(duration));
+                let mut back_off = entry.init_resting();
+                back_off.set_node(node);
+                back_off.set_lasts_us(to_us(duration));
             }
         }
     }
@@ -65,9 +65,9 @@
         }
         Which::RateUnlimited(()) => Some(NoticeKind::RateUnlimited),
         Which::Leaving(()) => Some(NoticeKind::Leaving),
-        Which::Resting(resting) => Some(NoticeKind::BackOff {
-            node: resting.get_node(),
-            duration: Duration::from_micros(resting.get_lasts_us()),
+        Which::Resting(back_off) => Some(NoticeKind::BackOff {
+            node: back_off.get_node(),
+            duration: Duration::from_micros(back_off.get_lasts_us()),
         }),
     }
 }
