--- a/crates/dragonflystep_edge/src/attempts.rs
+++ b/crates/dragonflystep_edge/src/attempts.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         job::Job,
-        placing::{Place, obtain},
+        slots::{Slot, acquire_slot},
     },
     dragonflystep_dispatch::{Refusal, UpstreamId},
     std::time::{Duration, Instant},
@@ -26,11 +26,11 @@
 
 impl Attempts {
     /// Requests a slot for the next attempt.
-    pub(crate) async fn request_slot(&mut self, job: &Job) -> Result<Place, Refusal> {
+    pub(crate) async fn request_slot(&mut self, job: &Job) -> Result<Slot, Refusal> {
         self.slot_requests += 1;
         let request = job.slot_request(self);
         let requested_at = Instant::now();
-        let slot = obtain(&job.node, request).await;
+        let slot = acquire_slot(&job.node, request).await;
         self.queued += requested_at.elapsed();
         slot
     }
@@ -46,12 +46,12 @@
         metrics.observe("queued_ms", &job.route.name, self.queued);
     }
 
-    /// The upstreams of all granted slots in order, which the next slot request avoids.
+    /// The upstreams of all granted slots in order, which the next slot request excludes.
     pub(crate) fn upstreams(&self) -> &[UpstreamId] {
         &self.tried
     }
 
-    /// Uncounts the last attempt because nothing was sent; its upstream is still avoided.
+    /// Uncounts the last attempt because nothing was sent; its upstream is still excluded.
     pub(crate) fn uncount_sent(&mut self) {
         self.sent -= 1;
     }
--- a/crates/dragonflystep_edge/src/burn.rs
+++ b/crates/dragonflystep_edge/src/burn.rs
@@ -41,7 +41,7 @@
 pub struct EdgeBurnReport {
     /// Share of requests that has to be in time.
     pub objective_share: f64,
-    /// The figures of each route, by its name.
+    /// The request counts of each route, by its name.
     pub routes: BTreeMap<String, RouteBurn>,
     /// Nodes whose metrics page could not be read; their requests are not counted.
     pub missing_nodes: Vec<String>,
@@ -55,11 +55,11 @@
     /// use dragonflystep_edge::EdgeBurnReport;
     ///
     /// let page = "in_time_total{kind=\"quotes\"} 97\nlate_total{kind=\"quotes\"} 3\n";
-    /// let report = EdgeBurnReport::of_pages(0.99, &[page.to_owned()], Vec::new());
+    /// let report = EdgeBurnReport::from_pages(0.99, &[page.to_owned()], Vec::new());
     /// assert_eq!(report.routes["quotes"].share_in_time, 0.97);
     /// assert!((report.routes["quotes"].burn - 3.0).abs() < 1e-9);
     /// ```
-    pub fn of_pages(objective_share: f64, pages: &[String], missing_nodes: Vec<String>) -> Self {
+    pub fn from_pages(objective_share: f64, pages: &[String], missing_nodes: Vec<String>) -> Self {
         let mut routes: BTreeMap<String, RouteBurn> = BTreeMap::new();
         for (name, route, value) in pages
             .iter()
--- a/crates/dragonflystep_edge/src/rollouts.rs
+++ b/crates/dragonflystep_edge/src/rollouts.rs
@@ -24,7 +24,7 @@
 
 /// An order to roll out a version of a service, with its current phase, as nodes and the platform exchange it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutStatus {
     /// The service whose upstreams get the new version.
     pub service: ServiceName,
     /// The version that the service's requests are to move to.
@@ -64,37 +64,39 @@
 }
 
 impl Rollouts {
-    fn merge(&self, now: MonotonicTime, news: &RolloutNews) -> MergeEffect {
+    fn merge(&self, now: MonotonicTime, status: &RolloutStatus) -> MergeEffect {
         let mut known = self.known.borrow_mut();
         let order = RolloutOrder {
-            service: news.service.clone(),
-            to: news.to.clone(),
-            number: news.number,
-            ends_at: now + news.left,
+            service: status.service.clone(),
+            target_version: status.to.clone(),
+            number: status.number,
+            ends_at: now + status.left,
         };
         let is_full = known.len() >= MAX_ORDERS;
-        let Some(before) = known.get_mut(&news.service) else {
+        let Some(before) = known.get_mut(&status.service) else {
             if is_full {
-                log::error!(service:% = news.service; "too many roll-outs; ignoring a new one");
+                log::error!(service:% = status.service; "too many roll-outs; ignoring a new one");
                 return MergeEffect::Unchanged;
             }
-            let phase = news.phase;
-            known.insert(news.service.clone(), KnownRollout { order, phase });
+            let phase = status.phase;
+            known.insert(status.service.clone(), KnownRollout { order, phase });
             return MergeEffect::Order;
         };
-        if before.order.to == news.to && is_same_order(before.order.number, news.number) {
-            if before.phase == news.phase || news.phase == RolloutPhase::Serving {
+        if before.order.target_version == status.to
+            && is_same_order(before.order.number, status.number)
+        {
+            if before.phase == status.phase || status.phase == RolloutPhase::Serving {
                 return MergeEffect::Unchanged;
             }
-            before.phase = news.phase;
+            before.phase = status.phase;
             return MergeEffect::Phase;
         }
-        if news.number < before.order.number {
+        if status.number < before.order.number {
             return MergeEffect::Unchanged;
         }
         *before = KnownRollout {
             order,
-            phase: news.phase,
+            phase: status.phase,
         };
         MergeEffect::Order
     }
@@ -116,42 +118,42 @@
         }
     }
 
-    fn all(&self, now: MonotonicTime) -> Vec<RolloutNews> {
+    fn all(&self, now: MonotonicTime) -> Vec<RolloutStatus> {
         let known = self.known.borrow();
-        let news = known.values().map(|known| RolloutNews {
+        let statuses = known.values().map(|known| RolloutStatus {
             service: known.order.service.clone(),
-            to: known.order.to.clone(),
+            to: known.order.target_version.clone(),
             number: known.order.number,
             left: known.order.ends_at.saturating_sub(now),
             phase: known.phase,
         });
-        news.collect()
+        statuses.collect()
     }
 }
 
 impl Node {
     /// Applies a roll-out that the platform or another node reported. `source` names its origin in the log.
-    pub fn learn_rollout(&self, news: &RolloutNews, source: &str) {
+    pub fn apply_rollout(&self, status: &RolloutStatus, source: &str) {
         let now = self.owner.now();
-        let merged = self.rollouts.merge(now, news);
+        let merged = self.rollouts.merge(now, status);
         if merged == MergeEffect::Unchanged {
             return;
         }
-        let known = self.rollouts.known.borrow().get(&news.service).cloned();
+        let known = self.rollouts.known.borrow().get(&status.service).cloned();
         let Some(known) = known else {
             return;
         };
-        log::info!(source, service:% = news.service, to:% = news.to, number = known.order.number, phase:? = known.phase, left_ms = news.left.as_millis() as u64; "roll-out known");
+        log::info!(source, service:% = status.service, to:% = status.to, number = known.order.number, phase:? = known.phase, left_ms = status.left.as_millis() as u64; "roll-out known");
         let number = known.order.number;
         if merged == MergeEffect::Order {
             self.owner.apply(Event::RolloutOrdered(known.order));
         }
-        let settled = Event::RolloutSettled(news.service.clone(), number, known.phase);
+        let settled = Event::RolloutSettled(status.service.clone(), number, known.phase);
         self.owner.apply(settled);
     }
 
     /// Removes the order of a service that the operator withdrew.
-    pub fn learn_rollout_withdrawn(&self, service: &ServiceName) {
+    pub fn apply_rollout_withdrawal(&self, service: &ServiceName) {
         if self.rollouts.known.borrow_mut().remove(service).is_some() {
             log::info!(service:%; "roll-out withdrawn");
             let withdrawn = Event::RolloutWithdrawn(service.clone());
@@ -160,7 +162,7 @@
     }
 
     /// The roll-outs that this node knows, as of now.
-    pub fn rollouts(&self) -> Vec<RolloutNews> {
+    pub fn rollouts(&self) -> Vec<RolloutStatus> {
         self.rollouts.all(self.owner.now())
     }
 
@@ -170,7 +172,7 @@
         let known = self.rollouts.known.borrow();
         let known = known.get(&step.order.service);
         known.is_some_and(|known| {
-            known.order.to == step.order.to
+            known.order.target_version == step.order.target_version
                 && (known.phase == RolloutPhase::Serving || known.phase == step.phase)
         })
     }
@@ -188,14 +190,14 @@
     }
 
     /// Decodes and applies the roll-outs that another node sent.
-    pub(crate) fn learn_rollouts(&self, bytes: &[u8], peer: &str) {
+    pub(crate) fn apply_rollouts(&self, bytes: &[u8], peer: &str) {
         if bytes.is_empty() {
             return;
         }
-        match serde_json::from_slice::<Vec<RolloutNews>>(bytes) {
+        match serde_json::from_slice::<Vec<RolloutStatus>>(bytes) {
             Ok(all) => {
-                for news in &all {
-                    self.learn_rollout(news, peer);
+                for status in &all {
+                    self.apply_rollout(status, peer);
                 }
             }
             Err(error) => {
@@ -210,7 +212,7 @@
     loop {
         let step = node.rollouts.next_step().await;
         let order = &step.order;
-        log::info!(service:% = order.service, to:% = order.to, number = order.number, phase:? = step.phase, evidence:% = step.reason; "roll-out step");
+        log::info!(service:% = order.service, to:% = order.target_version, number = order.number, phase:? = step.phase, evidence:% = step.reason; "roll-out step");
         node.metrics.count("rollout_steps_total", step.phase.name());
         spawn_local(platform.clone().publish_rollout(node.clone(), step));
     }
