--- a/crates/dragonflystep_core/src/admin.rs
+++ b/crates/dragonflystep_core/src/admin.rs
@@ -1,4 +1,4 @@
-//! Commands and answers of the administration API.
+//! Commands of operators to the administration API, and their answers.
 
 use {
     crate::{
@@ -8,59 +8,59 @@
     std::sync::Arc,
 };
 
-/// What an operator asks for.
+/// A command from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCommand {
     /// The catalogue in force on this node.
     ShowCatalogue,
-    /// A change based on a version.
+    /// Changes the catalogue, based on a version.
     ChangeCatalogue {
-        /// Version that the operator saw.
+        /// Catalogue version that the edits are based on.
         based_on: CatalogueVersion,
-        /// Who changes.
+        /// Name of the operator who makes the change.
         author: Arc<str>,
-        /// Why.
+        /// Reason for the change.
         reason: Arc<str>,
-        /// Unique text of the call; a repeat with the same token is the same change.
+        /// Unique text of the call. A repeated call with the same token is treated as the same change.
         token: Arc<str>,
-        /// The edits.
+        /// Edits that make up the change.
         edits: Vec<Edit>,
     },
-    /// The changes since a version, newest last.
+    /// Shows the changes since a version, newest last.
     ShowHistory {
-        /// First version wanted.
+        /// First version to include.
         since: CatalogueVersion,
     },
-    /// Which version is in force on each node, and who holds which group.
+    /// Shows the catalogue version in force on each node, and the holder of each group.
     ShowStatus,
 }
 
-/// What an operator is told.
+/// Answer to an operator's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminAnswer {
     /// The catalogue in force on this node.
     Catalogue(Arc<Catalogue>),
-    /// The change is accepted.
+    /// The change was accepted.
     Accepted {
-        /// The version that it made.
+        /// Catalogue version that the change created.
         version: CatalogueVersion,
         /// Live nodes that have not confirmed the version yet.
         unconfirmed_nodes: Vec<NodeId>,
     },
-    /// The change was not made, or could not be settled.
+    /// The change was not made, or its outcome could not be determined.
     Rejected {
-        /// The version in force.
+        /// Catalogue version in force on this node.
         current: CatalogueVersion,
-        /// Every fault.
+        /// All faults that were found in the change.
         faults: Vec<ChangeFault>,
     },
-    /// Changes, newest last; the oldest kept ones may be missing.
+    /// Changes, newest last. Changes that are older than the kept history are missing.
     History(Vec<CatalogueChange>),
-    /// The state of the system as this node knows it.
+    /// State of the system as known to this node.
     Status(SystemStatus),
 }
 
-/// What one node knows of the system.
+/// State of the system as known to one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SystemStatus {
     /// Each node with the catalogue version that is in force there.
@@ -69,26 +69,26 @@
     pub groups: Vec<GroupStatus>,
 }
 
-/// What is known of one node.
+/// State of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// The node.
+    /// Name of the node.
     pub node: NodeId,
-    /// Version in force there, when last heard.
+    /// Newest catalogue version that the node is known to have in force.
     pub catalogue_version: CatalogueVersion,
     /// Whether the node is leaving.
     pub leaving: bool,
-    /// Milliseconds since the node was last heard.
+    /// Milliseconds since the last message from the node arrived.
     pub silent_ms: u64,
 }
 
-/// What is known of one group.
+/// Holder of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupStatus {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// Its holder, where known.
+    /// Node that holds the group; `None` when it is not known.
     pub holder: Option<NodeId>,
-    /// The holder's epoch.
+    /// Epoch of the holder's lease.
     pub epoch: u64,
 }
--- a/crates/dragonflystep_core/src/context.rs
+++ b/crates/dragonflystep_core/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the reducer share while they handle one event.
+//! State and outputs that the parts of the reducer share while they handle one event.
 
 use {
     crate::{
@@ -21,51 +21,54 @@
     },
 };
 
-/// State that every part may read; each field is written by one part only.
+/// State that every part of the reducer may read. Each field is written by one part only.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Who this node is.
+    /// Identity and addresses of this node.
     pub node: NodeIdentity,
-    /// Times and sizes.
+    /// Durations and sizes that the protocols use.
     pub tuning: Tuning,
-    /// The catalogue in force here; written by `catalogue_sync`.
+    /// The catalogue in force on this node; written by `catalogue_sync`.
     pub catalogue: Arc<Catalogue>,
-    /// When this node last knew the catalogue in force to be the newest; written by `catalogue_sync`.
+    /// When the catalogue in force was last known to be the newest, if ever; written by `catalogue_sync`.
     pub catalogue_confirmed_at: Option<Duration>,
-    /// Whether a change of this node's own may be under way; written by `catalogue_sync`.
+    /// Whether a catalogue change by this node may be in flight; written by `catalogue_sync`.
     pub own_change_in_flight: bool,
-    /// Whether this node knows of another's change that may be under way; written by `catalogue_sync`.
+    /// Whether a catalogue change by another node may be in flight; written by `catalogue_sync`.
     pub known_change_in_flight: bool,
-    /// Whether the list of members was ever read from the table; written by `membership`.
+    /// Whether the member list was read from the table at least once; written by `membership`.
     pub members_read: bool,
-    /// All nodes but this one; written by `membership`.
+    /// The other nodes of the system; written by `membership`.
     pub members: BTreeMap<NodeId, Member>,
-    /// Nodes that are no members for their silence alone, and whose rows are still there; written by `membership`.
+    /// Nodes that were removed from the members only because they were silent, and whose rows still exist;
+    /// written by `membership`.
     ///
-    /// They may be alive behind a partition, and serve by what they and others like them know.
+    /// They may be alive on the other side of a network partition, and may still serve requests by what they and
+    /// others on their side know.
     pub silent: BTreeSet<NodeId>,
-    /// The known holder of each group; written by `lease`.
+    /// The newest known holder of each group; written by `lease`.
     pub holders: BTreeMap<GroupId, Holder>,
     /// Groups that this node holds; written by `lease`.
     pub held: BTreeMap<GroupId, HeldLease>,
-    /// Upstreams that take no new work; written by `membership` from catalogue and VM list.
+    /// Upstreams that take no new work, from the catalogue and the VM list; written by `membership`.
     pub leaving_upstreams: BTreeSet<UpstreamId>,
-    /// Nodes whose process has certainly ended, by the VM list; written by `membership`.
+    /// Nodes whose process has certainly ended, as confirmed by the VM list; written by `membership`.
     pub confirmed_gone: BTreeSet<NodeId>,
     /// Whether this node is stopping; written by `stop`.
     pub stopping: bool,
 }
 
 impl View {
-    /// Epoch in which this node may grant for the group at `now`; none when it may not.
+    /// Epoch in which this node may grant for the group at `now`; `None` when it may not.
     ///
-    /// A node that woke from a pause finds its lease run out here, before it grants anything.
+    /// After a pause of its process, a node finds by this check that its lease has expired before it grants
+    /// anything.
     pub fn granting_epoch(&self, group: &str, now: Duration) -> Option<Epoch> {
         let lease = self.held.get(group)?;
         (now < lease.valid_until).then_some(lease.epoch)
     }
 
-    /// Whether the catalogue in force was known to be the newest recently enough to act on it.
+    /// Whether the catalogue in force was confirmed as the newest within the last `catalogue_trust`.
     pub fn catalogue_is_fresh(&self, now: Duration) -> bool {
         self.catalogue_confirmed_at.is_some_and(|confirmed_at| {
             now.saturating_sub(confirmed_at) <= self.tuning.catalogue_trust
@@ -73,165 +76,167 @@
     }
 }
 
-/// Another node.
+/// What this node knows of another node of the system.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its incarnation.
+    /// Incarnation of the member's process.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// Data centre in which the member runs.
     pub data_centre: DataCentreId,
-    /// Where its peers reach it.
+    /// Address at which other nodes reach the member.
     pub mesh_address: Arc<str>,
-    /// Where callers reach it.
+    /// Address at which callers reach the member.
     pub caller_address: Arc<str>,
-    /// Whether it is leaving.
+    /// Whether the member is stopping and takes no new work.
     pub leaving: bool,
-    /// Catalogue version in force there, when last heard.
+    /// Newest catalogue version that the member is known to have in force.
     pub catalogue_version: CatalogueVersion,
-    /// When it was last heard.
+    /// When the last message from the member arrived; `None` before the first.
     pub heard_at: Option<Duration>,
-    /// Whether it is thought to be unreachable.
+    /// Whether the member is suspected to be unreachable; cleared by any message from it.
     pub suspected: bool,
 }
 
-/// The holder of a group.
+/// Node that holds the lease of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The node.
+    /// Node that holds the lease.
     pub node: NodeId,
-    /// The epoch.
+    /// Epoch of its lease.
     pub epoch: Epoch,
 }
 
-/// A group that this node holds.
+/// Lease of a group that this node holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The epoch.
+    /// Epoch in which this node holds the group.
     pub epoch: Epoch,
-    /// Time of the node's clock up to which it may grant.
+    /// Time on the node's clock until which it may grant.
     pub valid_until: Duration,
 }
 
-/// What one part of the reducer tells the others.
+/// Notification from one part of the reducer to the others.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Signal {
-    /// This node took a group over and may grant once it knows what runs.
+    /// This node acquired the lease of a group. It may grant once it knows which requests run on the group's
+    /// upstreams.
     LeaseAcquired {
-        /// The group.
+        /// Group whose lease or holder changed.
         group: GroupId,
-        /// The new epoch.
+        /// Epoch of the acquired lease.
         epoch: Epoch,
     },
     /// This node no longer holds a group.
     LeaseLost {
-        /// The group.
+        /// Group whose lease or holder changed.
         group: GroupId,
     },
     /// The known holder of a group changed.
     HolderChanged {
-        /// The group.
+        /// Group whose lease or holder changed.
         group: GroupId,
     },
     /// A new version of the catalogue is in force.
     CatalogueApplied,
-    /// A node joined.
+    /// A node was added to the members.
     MemberJoined {
-        /// The node.
+        /// Node that joined.
         node: NodeId,
     },
-    /// A node is gone for good: its process has ended, or it was replaced.
+    /// A node was removed from the members: its process has ended, it was replaced, or it was silent for too
+    /// long.
     MemberGone {
-        /// The node.
+        /// Node that was removed.
         node: NodeId,
-        /// The incarnation that is gone.
+        /// Incarnation that was removed.
         incarnation: Incarnation,
     },
-    /// Upstreams began or ceased to leave.
+    /// The set of upstreams that take no new work has changed.
     LeavingUpstreamsChanged,
-    /// A non-idempotent request with a key wants its durable claim before it is dispatched.
+    /// A non-idempotent request with a key needs a durable claim before it is dispatched.
     ClaimWanted {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// Its key.
+        /// Key of the request.
         key: RequestKey,
     },
-    /// A claimed request ended, or was given up unrun.
+    /// A request for which a claim was asked ended, or was given up without being dispatched.
     ClaimEnded {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// Its key.
+        /// Key of the request.
         key: RequestKey,
-        /// How it ended; none when it was never dispatched, so that the claim is taken back.
+        /// How the request ended; `None` when it was never dispatched, so that the claim is removed.
         outcome: Option<Outcome>,
     },
-    /// A request with a key wants to own the key at its homes.
+    /// A request with a key needs to own the key at the key's homes.
     KeyWanted {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// Its key.
+        /// Key of the request.
         key: RequestKey,
-        /// Its service; the homes are groups of it.
+        /// Service of the request; the homes of the key are groups of this service.
         service: ServiceId,
     },
-    /// A request with a key ended, or was given up unrun.
+    /// A request with a key ended, or was given up without being dispatched.
     KeyEnded {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// Its key.
+        /// Key of the request.
         key: RequestKey,
-        /// How it ended; none when it was never dispatched, so that the key may come again.
+        /// How the request ended; `None` when it was never dispatched, so that the key may be used again.
         outcome: Option<Outcome>,
     },
-    /// A claim is written: the non-idempotent request may be dispatched.
+    /// The claim is written, so the non-idempotent request may be dispatched.
     ClaimGranted {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
     },
-    /// A claim can't be had.
+    /// The claim can't be obtained.
     ClaimDenied {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// The final word.
+        /// Refusal with which the request ends.
         refusal: Refusal,
     },
-    /// A key is owned at all the homes that could be asked.
+    /// The request owns its key at all homes that could be asked.
     KeyGranted {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
     },
-    /// A key is owned by another request.
+    /// The request can't own its key, for example because another request owns it.
     KeyDenied {
-        /// The request.
+        /// Request that the notification is about.
         request: RequestId,
-        /// The final word.
+        /// Refusal with which the request ends.
         refusal: Refusal,
     },
-    /// The node began to stop.
+    /// The node started its planned stop.
     StopBegan,
 }
 
-/// Hands a part of the reducer what it shares with the others while one event is handled.
+/// Access to the shared state, and to the effects and signals that a part emits, while one event is handled.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// Time of the event on the node's clock.
     pub now: Duration,
     /// Shared state.
     pub view: &'a mut View,
-    /// Random numbers; seeded by the driver at start.
+    /// Random number generator, seeded by the driver at start.
     pub random: &'a mut SmallRng,
-    /// Effects so far.
+    /// Effects emitted so far for this event.
     pub effects: &'a mut Vec<Effect>,
     /// Signals not yet delivered.
     pub signals: &'a mut VecDeque<Signal>,
 }
 
 impl Context<'_> {
-    /// Adds an effect.
+    /// Emits an effect for the driver.
     pub fn effect(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// Sends a message.
+    /// Emits the effect that sends a message to a node.
     pub fn send(&mut self, to: &NodeId, message: Message) {
         self.effects.push(Effect::Send {
             to: to.clone(),
@@ -247,12 +252,12 @@
         });
     }
 
-    /// Tells the other parts.
+    /// Emits a signal, which is delivered to all parts after the event is handled.
     pub fn signal(&mut self, signal: Signal) {
         self.signals.push_back(signal);
     }
 
-    /// Writes a line to the log.
+    /// Emits a log line with a fixed text and named values.
     pub fn log(
         &mut self,
         level: LogLevel,
--- a/crates/dragonflystep_core/src/effect.rs
+++ b/crates/dragonflystep_core/src/effect.rs
@@ -1,4 +1,4 @@
-//! What is to be done: the output of the reducer.
+//! Effects: the output of the reducer, which a driver carries out.
 
 use {
     crate::{
@@ -14,119 +14,119 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Something that a driver has to do.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Fire a timer at this time of the node's clock.
+    /// Fire a timer at a time on the node's clock.
     StartTimer {
-        /// When.
+        /// Time on the node's clock at which the timer fires.
         at: Duration,
-        /// Which.
+        /// Timer that is handed back in the event.
         timer: Timer,
     },
     /// Send a message to a node; a message to this node itself comes back as an event.
     Send {
-        /// Receiver.
+        /// Node that receives the message; may be this node itself.
         to: NodeId,
-        /// The message.
+        /// Message to send.
         message: Message,
     },
     /// Send a request's body to an upstream and relay its answer.
     Dispatch {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// Upstream.
+        /// Upstream that the effect is about.
         upstream: UpstreamId,
-        /// IP number and port.
+        /// IP address and port of the upstream.
         address: Arc<str>,
-        /// What kind of service it is.
+        /// Kind of the service that the upstream belongs to.
         kind: ServiceKind,
-        /// The grant; its epoch and number name the stream at the upstream.
+        /// Grant for the dispatch. Its epoch and number identify the stream at the upstream.
         grant: GrantName,
-        /// Time of the node's clock at which the grant is dead; checked right before the first byte.
+        /// Time on the node's clock at which the grant expires; checked right before the first byte is sent.
         valid_until: Duration,
-        /// Longest time without progress; after it the connection counts as silent.
+        /// Maximum time without progress, after which the connection counts as silent.
         progress_timeout: Duration,
     },
-    /// Take up a broken stream at the same upstream, after the tokens that arrived.
+    /// Resume a broken stream at the same upstream, after the tokens that have arrived.
     Resume {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// Tokens that arrived.
+        /// Number of tokens that have arrived.
         after_tokens: u32,
     },
     /// Drop the connection to the upstream and tell it to end the stream.
     CancelStream {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
     /// Tell an upstream to end the stream of a grant that another node dispatched.
     CancelGrantAt {
-        /// Upstream.
+        /// Upstream that the effect is about.
         upstream: UpstreamId,
-        /// IP number and port.
+        /// IP address and port of the upstream.
         address: Arc<str>,
-        /// The grant.
+        /// Grant whose stream should end.
         grant: GrantName,
     },
-    /// Finish a whole answer to the caller.
+    /// Complete the answer to the caller; the upstream's answer arrived in full.
     FinishAnswer {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
     /// End the answer to the caller with the upstream's own error answer.
     RelayRejection {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// End the answer to the caller with an explicit refusal or error.
+    /// End the answer to the caller with a refusal.
     Refuse {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// The final word.
+        /// Refusal that the caller receives.
         refusal: Refusal,
     },
-    /// Forget the request: its body and connections are no longer needed.
+    /// Release the request's body and connections, which are no longer needed.
     Release {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// Read load and cache reports of an upstream, again and again.
+    /// Start to read load and cache reports of an upstream repeatedly.
     WatchUpstream {
-        /// Upstream.
+        /// Upstream that the effect is about.
         upstream: UpstreamId,
-        /// IP number and port.
+        /// IP address and port of the upstream.
         address: Arc<str>,
-        /// What kind of service it is.
+        /// Kind of the service that the upstream belongs to.
         kind: ServiceKind,
     },
     /// Stop reading reports of an upstream.
     UnwatchUpstream {
-        /// Upstream.
+        /// Upstream that the effect is about.
         upstream: UpstreamId,
     },
     /// Call the table service.
     CallTable {
-        /// The call, handed back with the answer.
+        /// Identifies the call; handed back with the answer.
         call: TableCall,
-        /// The operation.
+        /// Operation to carry out.
         operation: TableOperation,
     },
     /// Call the object store.
     CallObjects {
-        /// The call, handed back with the answer.
+        /// Identifies the call; handed back with the answer.
         call: ObjectCall,
-        /// The operation.
+        /// Operation to carry out.
         operation: ObjectOperation,
     },
     /// Answer an operator.
     AnswerAdmin {
-        /// The call.
+        /// Call that is answered.
         call: AdminCallId,
-        /// The answer.
+        /// Answer for the operator.
         answer: AdminAnswer,
     },
-    /// Count something for the reports.
+    /// Record a figure for the reports and metrics.
     Record(Record),
     /// Write a line to the log.
     Log(LogLine),
@@ -134,22 +134,22 @@
     Exit,
 }
 
-/// Counts for the burn report and the metrics.
+/// Figures for the burn report and the metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// A request got its final answer.
     RequestEnded {
-        /// What was known of the request.
+        /// What the reducer knew of the request.
         facts: Arc<RequestFacts>,
-        /// The refusal; none for a whole answer.
+        /// Refusal that ended the request; `None` for a complete answer.
         refusal: Option<Refusal>,
-        /// Time from receipt to the first token.
+        /// Time from receipt of the request to the first token; `None` when no token arrived.
         first_token_after: Option<Duration>,
         /// Time from the first token to the last.
         streamed_for: Duration,
-        /// Tokens received.
+        /// Number of tokens received.
         tokens: u32,
-        /// Prompt tokens that were computed and then thrown away.
+        /// Prompt tokens whose prefill was computed and then discarded.
         wasted_prefill_tokens: u32,
     },
     /// This node took over a group, or gave it up.
@@ -159,7 +159,7 @@
     },
     /// A catalogue version came into force on this node.
     CatalogueApplied {
-        /// The version.
+        /// Catalogue version that is now in force.
         version: u64,
     },
 }
@@ -167,22 +167,22 @@
 /// One line of the structured log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// How grave it is.
+    /// Severity of the line.
     pub level: LogLevel,
-    /// What happened, in words that stay the same.
+    /// What happened; a fixed text without values, so that tools can match it.
     pub text: &'static str,
-    /// Names and values; never a key or a token.
+    /// Names and values; must never contain a secret key or token.
     pub fields: Vec<(&'static str, String)>,
 }
 
-/// How grave a log line is.
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// For the maintainers.
+    /// Details for the maintainers.
     Debug,
-    /// Expected, worth knowing.
+    /// An expected event that is worth knowing.
     Info,
-    /// An operator should look when there are many.
+    /// An operator should investigate if there are many of these.
     Warn,
     /// An operator has to act.
     Error,
--- a/crates/dragonflystep_core/src/event.rs
+++ b/crates/dragonflystep_core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happened: the input of the reducer.
+//! Events: the input of the reducer, which drivers report.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
     std::{collections::BTreeSet, sync::Arc, time::Duration},
 };
 
-/// Something that happened, told by a driver.
+/// Something that happened, as reported by a driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The node's drivers are ready.
@@ -22,160 +22,160 @@
     TimerFired(Timer),
     /// A caller's request was read and checked.
     RequestReceived {
-        /// Number that the driver gave to it.
+        /// Number that the driver assigned to the request.
         request: RequestId,
-        /// What is known of it.
+        /// What the reducer needs to know of the request.
         facts: Arc<RequestFacts>,
     },
-    /// The caller went away before its answer was complete.
+    /// The caller disconnected before its answer was complete.
     CallerLeft {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// What happened between this node and an upstream.
+    /// Something that happened between this node and an upstream.
     Upstream(UpstreamEvent),
     /// A message came from another node, or from this node itself.
     MessageReceived {
-        /// The sender.
+        /// Node that sent the message.
         from: NodeId,
-        /// The message.
+        /// Message that arrived.
         message: Message,
     },
-    /// No working connection to a node could be had.
+    /// No working connection to a node could be made.
     PeerLost {
-        /// The node.
+        /// Node that can't be reached.
         node: NodeId,
     },
-    /// The platform's table service answered, or did not.
+    /// A call to the platform's table service was answered or failed.
     TableAnswered {
-        /// The call.
+        /// Call that the event belongs to.
         call: TableCall,
-        /// What became of it.
+        /// Result of the call.
         outcome: TableOutcome,
     },
-    /// The platform's object store answered, or did not.
+    /// A call to the platform's object store was answered or failed.
     ObjectAnswered {
-        /// The call.
+        /// Call that the event belongs to.
         call: ObjectCall,
-        /// What became of it.
+        /// Result of the call.
         outcome: ObjectOutcome,
     },
     /// The platform's VM list was read.
     VmListRead {
         /// Names of the live VMs.
         live: BTreeSet<Arc<str>>,
-        /// Names of the VMs that are leaving.
+        /// Names of the VMs that are listed as leaving.
         leaving: BTreeSet<Arc<str>>,
     },
-    /// An operator called.
+    /// An operator called the administration API.
     AdminCalled {
-        /// The call.
+        /// Call that the event belongs to.
         call: AdminCallId,
-        /// What is asked for.
+        /// Command of the operator.
         command: AdminCommand,
     },
     /// The process was asked to stop.
     StopRequested,
 }
 
-/// What happened between this node and an upstream.
+/// Something that happened between this node and an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// The grant had run out right before the first byte; nothing was sent.
+    /// The grant had expired right before the first byte was due; nothing was sent.
     DispatchExpired {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
     /// No connection could be made; nothing was sent.
     ConnectFailed {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// The first byte is about to go out; from here on the request may run.
+    /// The first byte is about to be sent; from here on the request may run.
     Dispatched {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// The first token, or for a plain service the head of the answer, arrived.
+    /// The first token arrived, or, for a plain service, the head of the answer.
     FirstTokenArrived {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
     },
-    /// Tokens arrived; told in batches.
+    /// Tokens arrived; reported in batches.
     TokensArrived {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// All tokens so far.
+        /// Total number of tokens so far.
         tokens: u32,
     },
-    /// The answer is whole: its end was checked.
+    /// The answer is complete; its end was checked.
     AnswerCompleted {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// All tokens.
+        /// Total number of tokens.
         tokens: u32,
-        /// Prompt tokens found in the engine's cache, where it says so.
+        /// Prompt tokens that the engine reports to have found in its cache; `None` when it does not say.
         cached_tokens: Option<u32>,
     },
-    /// The upstream answered with an error status and a whole answer.
+    /// The upstream answered with an error status, and its answer is complete.
     AnswerRejected {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
         /// Whether the upstream says that the request did not run.
         not_run: bool,
     },
-    /// The connection broke or went silent before the answer was whole.
+    /// The connection broke or went silent before the answer was complete.
     StreamBroken {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// All tokens that arrived in order before.
+        /// Number of tokens that arrived in order before that.
         tokens: u32,
-        /// Whether it went silent; otherwise it was closed or cut.
+        /// Whether the connection went silent; otherwise it was closed or reset.
         silent: bool,
     },
-    /// A stream could not be resumed: the upstream does not know it, or can't be reached.
+    /// A stream could not be resumed, because the upstream does not have it or can't be reached.
     ResumeFailed {
-        /// The request.
+        /// Request that this node received.
         request: RequestId,
-        /// Whether the upstream could be reached and said that it does not have the stream.
+        /// Whether the upstream was reached and answered that it does not have the stream.
         gone: bool,
     },
     /// The upstream confirmed that a cancelled stream has ended there.
     CancelConfirmed {
-        /// The upstream.
+        /// Upstream that the report or confirmation concerns.
         upstream: UpstreamId,
-        /// Epoch of the grant.
+        /// Epoch in which the stream's grant was made.
         epoch: Epoch,
-        /// The grant.
+        /// Number of the stream's grant within its group and epoch.
         grant: GrantId,
     },
     /// The upstream reported its load.
     LoadReported {
-        /// The upstream.
+        /// Upstream that the report or confirmation concerns.
         upstream: UpstreamId,
-        /// Requests that it ran.
+        /// Number of requests that it was running.
         running: u32,
-        /// Requests in its own queue.
+        /// Number of requests in its own queue.
         queued: u32,
-        /// How old the report was when it was read.
+        /// Age of the report when it was read.
         age: Duration,
     },
-    /// The upstream reported what it caches.
+    /// The upstream reported changes of its prefix cache.
     CacheReported {
-        /// The upstream.
+        /// Upstream that the report or confirmation concerns.
         upstream: UpstreamId,
-        /// Number of the report; a gap means that reports were lost.
+        /// Sequence number of the report; a gap means that reports were lost.
         sequence: u64,
         /// Blocks stored since the last report.
         stored: Vec<BlockHash>,
         /// Blocks evicted since the last report.
         evicted: Vec<BlockHash>,
     },
-    /// A watched upstream did not answer.
+    /// Reading the reports of a watched upstream failed.
     WatchFailed {
-        /// The upstream.
+        /// Upstream that the report or confirmation concerns.
         upstream: UpstreamId,
     },
 }
--- a/crates/dragonflystep_core/src/lease/extension.rs
+++ b/crates/dragonflystep_core/src/lease/extension.rs
@@ -1,4 +1,4 @@
-//! Going on with a lease while the platform is out, by the support of a majority of the lease's voters.
+//! Extends held leases while the platform is unavailable, with the support of a majority of the lease's voters.
 
 use {
     super::{
@@ -18,17 +18,17 @@
     },
 };
 
-/// How many rounds of requests are open at a time; answers to older ones are dropped.
+/// Number of open rounds of support requests per lease; answers to older rounds are dropped.
 const OPEN_ROUNDS: usize = 4;
 
-/// Requests for support of one lease, by the time at which they were sent.
+/// Support requests for one lease: send time of each round, and the voters that granted support in it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Extension {
     rounds: BTreeMap<Duration, BTreeSet<NodeId>>,
 }
 
 impl Leases {
-    /// Asks for support of all held leases when the renewals by the table run out.
+    /// Asks for support of all held leases when less than half the lease duration of the last renewal is left.
     pub(super) fn extend(&mut self, context: &mut Context<'_>) {
         let (Some(valid_until), Some(lease_duration)) =
             (self.own.valid_until(), self.own.lease_duration())
@@ -76,7 +76,7 @@
         }
     }
 
-    /// All lists of voters that a candidate may count.
+    /// All voter lists that a candidate may count: the one in the row and those of unsettled writes.
     fn voter_lists(&self, group: &str) -> Vec<Vec<NodeId>> {
         let written = self.rows.get(group).map(|known| known.row.voters.clone());
         let unsettled = self.unsettled_voters.get(group);
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// Counts a vote for support; a majority of every list that a candidate may count extends the lease.
+    /// Counts a vote of support. A majority of every list that a candidate may count extends the lease.
     pub(super) fn support_answered(
         &mut self,
         context: &mut Context<'_>,
@@ -129,7 +129,7 @@
         lease.valid_until = lease.valid_until.max(extended);
     }
 
-    /// This node's vote.
+    /// This node's vote on a support request.
     pub(super) fn vote(
         &mut self,
         context: &mut Context<'_>,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Handles a message about support.
+    /// Handles a support request or its answer.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::SupportRequest(request) => {
--- a/crates/dragonflystep_core/src/lease/groups.rs
+++ b/crates/dragonflystep_core/src/lease/groups.rs
@@ -1,4 +1,4 @@
-//! The rows of the groups as this node has seen them, and the groups that it holds.
+//! Tracks the group rows as this node last read them, and the groups that it holds.
 
 use {
     super::{
@@ -14,17 +14,17 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// A group's row as last seen.
+/// A group's row as last read, with its version.
 #[derive(Clone, Debug)]
 pub(super) struct KnownGroup {
     pub(super) version: RowVersion,
     pub(super) row: GroupRow,
 }
 
-/// Voters that a write of this node may have given to a group.
+/// Voter lists from writes of this node whose outcome is not known.
 ///
-/// Until the row is seen newer than the version that the write was based on, the write may still take effect,
-/// and a candidate may count either list.
+/// Until the row is read with a newer version than the one that the write was based on, the write may still take
+/// effect, and a candidate may count either list.
 #[derive(Clone, Debug)]
 pub(super) struct UnsettledVoters {
     pub(super) based_on: RowVersion,
@@ -32,7 +32,8 @@
 }
 
 impl Leases {
-    /// Takes in rows from any answer; `read_sent_at` is when the read was sent that showed them, where known.
+    /// Processes rows from any table answer. `read_sent_at` is when the read that returned them was sent, if
+    /// known.
     pub(super) fn see_rows(
         &mut self,
         context: &mut Context<'_>,
@@ -83,7 +84,8 @@
         self.rows.insert(group, KnownGroup { version, row });
     }
 
-    /// Begins to hold a group whose row names this incarnation, unless the epoch was given up before.
+    /// Starts to hold a group whose row names this incarnation. The caller has checked that the epoch was not
+    /// given up.
     pub(super) fn acquire(&mut self, context: &mut Context<'_>, group: &GroupId, epoch: Epoch) {
         let Some(valid_until) = self.own.valid_until() else {
             return;
@@ -98,7 +100,7 @@
         context.effect(Effect::Record(Record::LeaseChanged { held: true }));
     }
 
-    /// Ceases to hold a group; this epoch of it is never taken up again.
+    /// Stops holding a group. This node never acquires the same epoch of the group again.
     pub(super) fn lose(&mut self, context: &mut Context<'_>, group: &GroupId) {
         let Some(lease) = context.view.held.remove(group) else {
             return;
@@ -111,7 +113,7 @@
         context.effect(Effect::Record(Record::LeaseChanged { held: false }));
     }
 
-    /// Ceases to hold anything.
+    /// Stops holding all groups.
     pub(super) fn lose_all(&mut self, context: &mut Context<'_>) {
         let groups: Vec<GroupId> = context.view.held.keys().cloned().collect();
         for group in groups {
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Whether this node has given up the epoch.
+    /// Whether this node has given up this epoch of the group or a later one.
     pub(super) fn has_given_up(&self, group: &str, epoch: Epoch) -> bool {
         self.given_up
             .get(group)
             .is_some_and(|given_up| *given_up >= epoch)
     }
 
-    /// Reads the rows of a group and its holder.
+    /// Reads the rows of a group and of its last known holder, unless such a read is in flight.
     pub(super) fn read_group(&mut self, context: &mut Context<'_>, group: &GroupId) {
         if !self.reading.insert(group.clone()) {
             return;
@@ -144,7 +146,7 @@
         });
     }
 
-    /// Commits changes of groups in one transaction that is named after the first of them.
+    /// Commits changes of several groups in one transaction, which is named after the first group.
     pub(super) fn commit_change(
         &mut self,
         context: &mut Context<'_>,
@@ -164,7 +166,7 @@
         });
     }
 
-    /// Condition that a group's row is as last seen.
+    /// Condition that a group's row still has the version that was last read.
     pub(super) fn row_condition(&self, group: &str) -> Condition {
         Condition {
             key: group_key(group),
@@ -185,7 +187,7 @@
     }
 }
 
-/// Notes the holder of a group if the epoch is newer than the known one.
+/// Records the holder of a group if its epoch is newer than the known one.
 pub(super) fn set_holder(context: &mut Context<'_>, group: &GroupId, node: &NodeId, epoch: Epoch) {
     let holders = &mut context.view.holders;
     if holders.get(group).is_some_and(|known| known.epoch >= epoch) {
--- a/crates/dragonflystep_core/src/lease/handover.rs
+++ b/crates/dragonflystep_core/src/lease/handover.rs
@@ -1,4 +1,5 @@
-//! Giving groups to other nodes: when this node stops, and when it holds more than its share.
+//! Hands groups over to other nodes when this node stops or holds more than its share, and refreshes voter
+//! lists.
 
 use {
     super::{
@@ -20,17 +21,18 @@
     },
 };
 
-/// Shortest time between two looks at how the groups are spread.
+/// Minimum interval between two checks of how the groups are balanced over the nodes.
 const SHORTEST_BALANCE_INTERVAL: Duration = Duration::from_secs(2);
-/// How often the voters of the held groups are looked at.
+/// Interval between two checks of the voters of the held groups.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// A group moves only where the giver holds at least this many more than the taker.
+/// Minimum difference in the number of held groups between the giving and the receiving node for a group to
+/// move.
 const UNEVENNESS: usize = 2;
 /// Silence after which a voter is replaced.
 const VOTER_SILENCE: Duration = Duration::from_secs(3);
 
 impl Leases {
-    /// Gives all groups away in one transaction, or releases them when there is no node to take them.
+    /// Hands all groups over in one transaction, or releases them when no other node is live.
     pub(super) fn hand_all_over(&mut self, context: &mut Context<'_>) {
         let groups: Vec<GroupId> = self
             .own_groups(context)
@@ -68,7 +70,8 @@
         self.hand_over(context, moves);
     }
 
-    /// Releases groups, so that the next node may take them at once; this node ceases to grant before.
+    /// Releases groups so that the next holder can take them without waiting. This node stops granting before it
+    /// writes the rows.
     fn release(&mut self, context: &mut Context<'_>, groups: &[GroupId]) {
         let mut conditions = Vec::new();
         let mut writes = Vec::new();
@@ -88,9 +91,10 @@
         self.commit_change(context, groups, conditions, writes);
     }
 
-    /// Writes the last version of the own row once this node holds nothing and never will again.
+    /// Fences the own row once this node is stopping, holds no group and has no unsettled handover.
     ///
-    /// Its successor under the same name then need not wait for the lease of this incarnation.
+    /// The next process under the same node name then does not have to wait for the lease of this incarnation to
+    /// expire.
     pub fn retire(&mut self, context: &mut Context<'_>) {
         let is_done = context.view.held.is_empty() && self.unsettled_handovers(context.view) == 0;
         if context.view.stopping && is_done {
@@ -98,15 +102,15 @@
         }
     }
 
-    /// Whether the last version of the own row is still to be written.
+    /// Whether the final write that fences the own row is still to be done.
     pub fn is_retiring(&self) -> bool {
         self.own.is_retiring()
     }
 
-    /// Number of groups whose row still names this node, held or not.
+    /// Number of groups whose last known row names this incarnation, whether it still holds them or not.
     ///
-    /// A stopping node ceases to grant before it writes the handover; until the write is known to have taken
-    /// place, nobody else can grant before the lease has run out.
+    /// A stopping node stops granting before it writes the handover. Unless that write takes effect, no other
+    /// node can grant until the lease has expired.
     pub fn unsettled_handovers(&self, view: &View) -> usize {
         let own = &view.node;
         let rows = self.rows.values().map(|known| &known.row);
@@ -118,7 +122,7 @@
         loads(live, self.rows.values().map(|known| &known.row.holder))
     }
 
-    /// Gives groups to other nodes; this node ceases to grant before it writes the rows.
+    /// Hands groups over to other nodes. This node stops granting before it writes the rows.
     fn hand_over(&mut self, context: &mut Context<'_>, moves: Vec<(GroupId, NodeId)>) {
         let mut groups = Vec::new();
         let mut conditions = Vec::new();
@@ -147,7 +151,7 @@
         self.commit_change(context, &groups, conditions, writes);
     }
 
-    /// Tells the new holders, so that they need not wait for their next scan.
+    /// Notifies the new holders, so that they need not wait for their next scan.
     pub(super) fn tell_takers(&mut self, context: &mut Context<'_>, groups: &[GroupId]) {
         for group in groups {
             let Some(known) = self.rows.get(group) else {
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Gives one group to a node that holds too few.
+    /// Hands one group over to the node with the fewest groups if the groups are spread unevenly.
     pub(super) fn balance(&mut self, context: &mut Context<'_>) {
         if context.now < self.next_balance_at || !self.has_scanned {
             return;
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Replaces voters that are gone, soon after they are: a takeover needs a majority of them.
+    /// Replaces lost voters promptly, because a takeover needs a majority of the voters.
     pub(super) fn refresh_all_voters(&mut self, context: &mut Context<'_>) {
         let Some(renewed_until) = self.own.valid_until() else {
             return;
@@ -192,8 +196,8 @@
             return;
         }
         self.next_refresh_at = context.now + jittered(context.random, REFRESH_INTERVAL);
-        // The voters that extended a lease are bound by it, new ones would not be. So the list stays until the
-        // lease rests on a renewal, which holds a candidate off whoever votes.
+        // Voters that extended a lease are bound by their promises; new voters would not be. So the list changes
+        // only while the lease is based on a renewal, which keeps candidates waiting whoever the voters are.
         let held: Vec<GroupId> = context
             .view
             .held
@@ -206,10 +210,10 @@
         }
     }
 
-    /// The group that this node should give away, and the taker.
+    /// The group that this node should hand over, and the node that should receive it.
     ///
-    /// Every node works this out from the same rows, and one giver is chosen for each taker, so that not all
-    /// of them give to the same newcomer at once.
+    /// Every node computes this from the same rows, and one giving node is chosen for each receiving node, so
+    /// that a node that has just joined does not receive groups from all others at once.
     fn uneven_group(&self, context: &Context<'_>) -> Option<(GroupId, NodeId)> {
         let own = &context.view.node.id;
         let loads = self.loads_of(&live_nodes(context.view));
@@ -254,7 +258,7 @@
             ..known.row.clone()
         };
         let based_on = known.version;
-        // Until the write is settled a candidate may count either list.
+        // Until the outcome of the write is known, a candidate may count either list.
         let unsettled = self
             .unsettled_voters
             .entry(group.clone())
@@ -279,7 +283,7 @@
     }
 }
 
-/// Whether a voter is no longer of use.
+/// Whether a voter should be replaced: it is not a member, is leaving, or is suspected and silent.
 fn is_lost(context: &Context<'_>, voter: &NodeId) -> bool {
     if *voter == context.view.node.id {
         return false;
--- a/crates/dragonflystep_core/src/lease/lone.rs
+++ b/crates/dragonflystep_core/src/lease/lone.rs
@@ -1,11 +1,11 @@
-//! Which voters a group is given by a node that knows of no other node.
+//! Chooses the voters of a group, with a special rule for a node that knows of no other node.
 //!
-//! A holder that is the only voter of its lease extends it by its own word, and nobody can take the group over
-//! before the longest extension has passed. That is wanted of a system of one node, which goes on through an
-//! outage of the platform. It is not wanted while a system starts: the first node would hold groups in this way
-//! before it has seen the others, and its death in that moment would stop them for minutes. So a group has no
-//! voters at all until its holder has been alone for a while: the lease then can't be extended, and a takeover
-//! needs no votes.
+//! A holder that is the only voter of its lease can extend the lease by itself, and no other node can take the
+//! group over before the longest extension has passed. A system of a single node needs this to keep running
+//! through an outage of the platform. It is harmful while a system starts: the first node would hold groups in
+//! this way before it has seen the others, and if it died then, its groups would be unavailable for minutes. So
+//! a group has no voters until its holder has been alone for a while: the lease then can't be extended, and a
+//! takeover needs no votes.
 
 use {
     super::{
@@ -19,11 +19,12 @@
     std::time::Duration,
 };
 
-/// How long a node knows of no other before it votes alone; others that start with it are seen by then.
+/// How long a node must have known of no other before it may be the only voter. Nodes that start together have
+/// discovered each other by then.
 const ALONE_AFTER: Duration = Duration::from_secs(10);
 
 impl Leases {
-    /// Notes since when this node knows of no other that is live.
+    /// Updates since when this node has known of no other live node.
     pub(super) fn note_alone(&mut self, context: &Context<'_>) {
         let own = &context.view.node.id;
         let is_alone =
@@ -34,7 +35,8 @@
         };
     }
 
-    /// Voters of a lease held by `holder`; none where that would be the holder alone, who may not stay so.
+    /// Voters of a lease held by `holder`. Empty if the holder would be the only voter and may not vote alone
+    /// yet.
     pub(super) fn voters_for(
         &self,
         context: &Context<'_>,
--- a/crates/dragonflystep_core/src/lease/mod.rs
+++ b/crates/dragonflystep_core/src/lease/mod.rs
@@ -2,65 +2,67 @@
 //!
 //! # How a lease is held
 //!
-//! A node renews its own row ([`NodeRow`]) by compare-and-set; this renews all leases that it holds, so that
-//! the number of writes does not depend on the number of groups. A group's row ([`GroupRow`]) names the
-//! holder, its incarnation, the epoch and the voters. Nothing compares the clocks of two nodes: a time is
-//! always counted on one clock, and a margin makes up for the drift between two of them.
+//! A node renews its own row ([`NodeRow`]) by compare-and-set; this renews all leases that it holds, so that the
+//! number of writes does not depend on the number of groups. A group's row ([`GroupRow`]) names the holder, its
+//! incarnation, the epoch and the voters. Clocks of different nodes are never compared: a duration is always
+//! counted on one clock, and a margin covers the drift between two clocks.
 //!
-//! The holder grants until `sent + lease duration`, where `sent` is read before the renewal was sent that is
-//! known to be committed. With the platform out, the support of a majority of the row's voters extends this
-//! to `sent + lasts - margin`, but never beyond `longest_extension` after the last committed renewal.
+//! The holder grants until `sent + lease duration`, where `sent` is the time read before sending the last
+//! renewal that is known to be committed. While the platform is unavailable, the support of a majority of the
+//! row's voters extends this to `sent + lasts - margin`, but never beyond `longest_extension` after the last
+//! committed renewal.
 //!
 //! # Why two nodes never grant for one group
 //!
 //! A candidate writes the next epoch in a transaction. For an unfenced row of the holder's incarnation the
-//! transaction demands that the group's row and the holder's row are still at the versions that the
-//! candidate has seen, and it marks the holder's row as fenced. Before that,
+//! transaction requires that the group's row and the holder's row are still at the versions that the candidate
+//! has read, and it marks the holder's row as fenced. Before that, conditions 1 and either 2, 3 or 4 must hold:
 //!
-//! 1. it has seen the holder's row unchanged for the lease duration in that row and a margin. The renewal
-//!    was sent before it was seen, so the validity from it has run out; a later renewal would have changed
-//!    the version, and the transaction would fail. After the transaction the holder's next renewal fails;
-//! 2. a majority of the voters in the group's row has agreed. A voter agrees only when no promise of its own
-//!    runs, and does not support the holder afterwards. Each extension needs a majority of the same list, so
-//!    at least one voter is in both. Either it promised first: then it agreed only after the promise had run
-//!    out on its own clock, counted from receipt, which is later than the holder counts. Or it agreed first:
-//!    then it did not promise. The list changes only by a write of the row, on whose version the transaction
-//!    depends; while a write by the holder is unsettled, the holder needs a majority of both lists;
-//! 3. or, instead of votes, the row has been unchanged for `longest_extension` and a margin, after which no
-//!    extension can be left;
-//! 4. or the group's row names no voters: then there is no majority that could have extended the lease. A row
-//!    is without voters while its holder knows of no other node and has not been alone for long.
+//! 1. the candidate has seen the holder's row unchanged for the lease duration in that row plus a margin. The
+//!    renewal was sent before the candidate saw it, so its validity has expired; a later renewal would have
+//!    changed the version, and the transaction would fail. After the transaction the holder's next renewal
+//!    fails;
+//! 2. a majority of the voters in the group's row has agreed. A voter agrees only when none of its own promises
+//!    is still valid, and does not support the holder afterwards. Each extension needs a majority of the same
+//!    list, so at least one voter is in both majorities. If that voter promised first, it agreed only after the
+//!    promise had expired on its own clock, counted from receipt, which is later than the holder counts. If it
+//!    agreed first, it did not promise. The list changes only by a write of the row, and the transaction depends
+//!    on the row's version; while the outcome of a write by the holder is unknown, the holder needs a majority
+//!    of both lists;
+//! 3. or, instead of votes, the row has been unchanged for `longest_extension` plus a margin, after which no
+//!    extension can still be valid;
+//! 4. or the group's row names no voters: then no majority could have extended the lease. A row has no voters
+//!    while its holder knows of no other node and has not been alone for long.
 //!
-//! A holder writes another list only while its lease rests on a renewal and not on an extension: the voters of
-//! the old list are bound by what they promised, those of the new one are not, and only the wait of 1 keeps a
-//! candidate off for as long as the lease lasts.
+//! A holder changes the voter list only while its lease is based on a renewal and not on an extension. The
+//! voters of the old list are bound by their promises, those of the new list are not, and only the wait of
+//! condition 1 then prevents a takeover while the lease is valid.
 //!
-//! A row that is fenced or that another incarnation has replaced can't be renewed by the incarnation in the
-//! group's row before that incarnation has seen the change, and it gives up all its leases when it sees it,
-//! also those from older rows of groups that it learns of only later.
-//! So the transaction then depends on the group's row alone, and votes are needed all the same. This holds
-//! only for a sight of the holder's row that is newer than the group's row; an older one may be from before
-//! that incarnation began, and is treated like any other. A node that
-//! starts under a name whose row is not fenced waits as a candidate would before it writes the row over.
+//! If the holder's row is fenced or was replaced by another incarnation, the incarnation in the group's row
+//! can't renew before it has read the change, and when it reads it, it gives up all its leases, including those
+//! from older group rows that it reads only later. So the transaction then depends on the group's row alone;
+//! votes are still needed. This applies only if the version of the holder's row is newer than the group's row;
+//! an older one may predate that incarnation and is treated like any other row. A node that starts under a name
+//! whose row is not fenced waits as long as a candidate would before it overwrites the row.
 //!
-//! A node that stops ceases to grant before it writes to whom its groups go. When there is nobody to take
-//! them it releases them: the row then has the next epoch, which nobody ever holds, and no voters, so that
-//! nobody can extend it. The next holder writes over it on the condition of the row alone, without votes.
-//! Promises and agreements for earlier epochs are of no use to anybody, since their transactions depend on
-//! the version of the row before. Once its groups are settled and no request is open, the node fences its own
-//! row and never renews again; the next process of its name then need not wait either.
+//! A stopping node stops granting before it writes the new holders of its groups. When no other node is live it
+//! releases the groups: the row then has the next epoch, which nobody ever holds, and no voters, so that nobody
+//! can extend it. The next holder overwrites the row on the condition of the row's version alone, without votes.
+//! Promises and agreements for earlier epochs have no effect any more, since their transactions depend on the
+//! earlier version of the row. Once its handovers are settled and no request is open, the node fences its own
+//! row and never renews again, so the next process under its name does not have to wait either.
 //!
-//! A voter's agreement can't be taken back by time, because a transaction may take effect late. It is void
-//! when the voter knows that the transaction can't take effect any more: the candidate saw some version `v`
-//! of the holder's row before the voter agreed; the voter then sends a read, which shows a version
-//! `w >= v`, and later sees a newer one. From then on it supports the holder again. A voter that restarts has
-//! forgotten its agreements, and the same rule covers them: it supports a holder only after it has seen two
-//! versions of the holder's row since its start. It has forgotten its promises as well, and agrees to nothing
-//! until the longest promise has run out. Voters that the VM list shows as gone count as agreeing once their
-//! promises have run out; silence alone is no proof of death, since a partition looks the same.
+//! A voter's agreement does not expire with time, because a transaction may take effect late. It becomes void
+//! when the voter knows that the transaction can no longer take effect: the candidate saw some version `v` of
+//! the holder's row before the voter agreed; the voter then sends a read, which shows a version `w >= v`, and
+//! later sees a newer one. From then on it supports the holder again. A restarted voter has lost its agreements,
+//! and the same rule covers them: it supports a holder only after it has seen two versions of the holder's row
+//! since its start. It has lost its promises too, so it agrees to no takeover until the longest possible promise
+//! has expired. Voters that the VM list shows as gone count as agreeing once their promises have expired;
+//! silence alone does not prove that a node is dead, since a network partition looks the same.
 //!
-//! All this rests on clocks that go on while a process is paused, and on a driver that answers each table
-//! call exactly once.
+//! All this relies on clocks that keep running while a process is paused, and on a driver that answers each
+//! table call exactly once.
 
 mod extension;
 mod groups;
@@ -108,29 +110,29 @@
     },
 };
 
-/// Rounds for each renewal; what is due is looked at this often.
+/// Number of lease rounds per renewal interval; each round checks what is due.
 const ROUNDS_PER_RENEWAL: u32 = 10;
-/// Wait after a change of a group whose fate is not known.
+/// Wait before a change of a group is tried again after the table was unavailable or the outcome was unknown.
 const CHANGE_RETRY: Duration = Duration::from_millis(500);
 
-/// State of this part.
+/// Lease state of this node: its own row, the rows it has read, its votes and its takeover attempts.
 #[derive(Debug, Default)]
 pub struct Leases {
     own: OwnRow,
     watch: NodeWatch,
     votes: Votes,
-    /// Groups that the catalogue names.
+    /// Groups named by the catalogue.
     groups: BTreeSet<GroupId>,
     rows: BTreeMap<GroupId, KnownGroup>,
     has_scanned: bool,
-    /// Whether a scan for many new groups is to come; only the first nodes create groups before it.
+    /// Whether a scan for many new groups is pending. Until it is done, only nodes of rank 0 create group rows.
     awaits_scan: bool,
-    /// Whether the member list was read; before that, this node would choose itself as the only voter.
+    /// Whether the member list was read. Before that, this node would choose itself as the only voter.
     has_seen_members: bool,
-    /// Since when this node knows of no other that is live.
+    /// Since when this node has known of no other live node; `None` while it knows of one.
     alone_since: Option<Duration>,
     given_up: BTreeMap<GroupId, Epoch>,
-    /// Groups with a change under way, and the group that the transaction is named after.
+    /// Groups with a transaction in flight, each with the group that the transaction is named after.
     changing: BTreeMap<GroupId, GroupId>,
     not_before: BTreeMap<GroupId, Duration>,
     unsettled_voters: BTreeMap<GroupId, UnsettledVoters>,
@@ -150,14 +152,14 @@
 }
 
 impl Leases {
-    /// Starts the rounds.
+    /// Starts the lease rounds.
     pub fn start(&mut self, context: &mut Context<'_>) {
         self.votes.started(context.now);
         self.catalogue_applied(context);
         self.round_due(context);
     }
 
-    /// Renews, and looks for groups without a holder.
+    /// Runs a lease round: renews the own row, extends leases, and checks for groups that need a holder.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         let interval = context.view.tuning.lease_renewal / ROUNDS_PER_RENEWAL;
         context.start_timer(interval, Timer::LeaseRound);
@@ -178,7 +180,7 @@
         self.refresh_all_voters(context);
     }
 
-    /// Learns of a new holder.
+    /// Records a new holder that announced itself, and gives up the lease if its epoch is newer.
     pub fn holder_announced(
         &mut self,
         context: &mut Context<'_>,
@@ -196,14 +198,14 @@
         set_holder(context, &reregister.group, from, reregister.epoch);
     }
 
-    /// Looks at the leases of a lost node.
+    /// Reads the row of a watched holder that can't be reached.
     pub fn peer_lost(&mut self, context: &mut Context<'_>, node: &NodeId) {
         if self.watched_holders.contains(node) {
             self.read_node(context, node);
         }
     }
 
-    /// Takes in a scan of the node rows that was sent at `read_sent_at`.
+    /// Processes a scan of the node rows that was sent at `read_sent_at`.
     pub fn members_scanned(
         &mut self,
         context: &mut Context<'_>,
@@ -328,7 +330,7 @@
         }
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the reducer.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         match signal {
             Signal::CatalogueApplied => self.catalogue_applied(context),
--- a/crates/dragonflystep_core/src/lease/placement.rs
+++ b/crates/dragonflystep_core/src/lease/placement.rs
@@ -1,7 +1,8 @@
-//! Which node should hold which group, and which nodes vote on its lease.
+//! Chooses which node should hold which group, and which nodes vote on its lease.
 //!
-//! Rendezvous hashing: each node has a weight for each group, and the heaviest goes first. All nodes come
-//! to nearly the same order without talking, and one node's death moves only its own groups.
+//! Uses rendezvous hashing: each node has a weight for each group, and the node with the highest weight comes
+//! first. All nodes compute nearly the same order without communicating, and the loss of a node moves only its
+//! own groups.
 
 use {
     crate::{
@@ -12,15 +13,15 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Most voters of one lease.
+/// Maximum number of voters of one lease.
 pub const MOST_VOTERS: usize = 7;
 
-/// Weight of a node for a name; the heaviest goes first.
+/// Rendezvous hash weight of a node for a name; the node with the highest weight comes first.
 pub fn weight(name: &str, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), xxh3_64_with_seed(name.as_bytes(), 0))
 }
 
-/// Nodes that can take on work, this one included unless it is stopping.
+/// Members that are neither leaving nor suspected, and this node unless it is stopping.
 pub fn live_nodes(view: &View) -> BTreeSet<NodeId> {
     let others = view
         .members
@@ -45,9 +46,9 @@
     loads
 }
 
-/// How many live nodes should try to take a group before `node` does.
+/// Number of live nodes that should try to take a group before `node` does.
 ///
-/// Nodes that hold their share already come after those that do not.
+/// Nodes that already hold their share of the groups come after those that do not.
 pub fn rank(
     group: &str,
     node: &NodeId,
@@ -65,8 +66,8 @@
 
 /// Voters of a lease held by `holder`: an odd number of up to seven nodes, spread over the data centres.
 ///
-/// The holder's own vote is lost when it dies, which is when votes are wanted most; so the holder votes
-/// only where this makes their number odd.
+/// The holder's own vote is lost when the holder dies, which is when a takeover needs votes; so the holder is a
+/// voter only where this makes the number odd.
 pub fn choose_voters(view: &View, group: &GroupId, holder: &NodeId) -> Vec<NodeId> {
     let mut by_data_centre: BTreeMap<DataCentreId, Vec<NodeId>> = BTreeMap::new();
     for node in live_nodes(view) {
--- a/crates/dragonflystep_core/src/lease/renewal.rs
+++ b/crates/dragonflystep_core/src/lease/renewal.rs
@@ -1,8 +1,9 @@
-//! The renewal of the node's own row, which renews all leases that the node holds.
+//! Renewal of this node's own row, which renews all leases that the node holds.
 //!
-//! The validity of a lease is counted from before the renewal was sent. A renewal whose answer was lost
-//! counts only when the row is seen with its number. Renewals are numbered, and the time at which each was
-//! sent is kept, so that one that takes effect late counts from its own time and not from a later one.
+//! The validity of a lease is counted from a time read before the renewal was sent. A renewal whose answer was
+//! lost counts only once the row has been read with that renewal's number. Renewals are numbered and their send
+//! times are kept, so that a renewal that takes effect late is counted from its own send time and not from a
+//! later one.
 
 use {
     super::{
@@ -18,49 +19,49 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How many renewals are remembered with the time at which they were sent.
+/// Number of recent renewals whose send times are kept.
 const REMEMBERED_RENEWALS: usize = 16;
 
-/// What is known of the own row.
+/// What this node knows about its own row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Known {
-    /// Nothing; it has to be read first.
+    /// Not known; the row must be read before it is written.
     #[default]
     Unread,
-    /// It is not there.
+    /// The row does not exist.
     Absent,
-    /// It is this node's own, or free to be written over.
+    /// The row was written by this incarnation, or is fenced and may be overwritten.
     Present(RowVersion),
-    /// Another incarnation wrote it and may still renew it.
+    /// Another incarnation wrote the row and may still renew it.
     Foreign {
-        /// Version.
+        /// Version of the row.
         version: RowVersion,
         /// When this version was first seen.
         since: Duration,
-        /// How long it has to stay unchanged before it may be written over.
+        /// How long the row must stay unchanged before it may be overwritten.
         wait: Duration,
     },
 }
 
-/// What a sight of the own row means for the leases.
+/// Effect that reading the own row has on the leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnRowNews {
     /// Nothing changed.
     Unchanged,
-    /// A renewal is known to be committed.
+    /// A newer renewal is now known to be committed.
     Renewed,
-    /// Another node took over, or another process writes the row: all leases are lost.
+    /// The row is fenced, absent or written by another incarnation: all leases are lost.
     Lost,
 }
 
-/// A renewal that was sent.
+/// Send time of a renewal and the lease duration that it asked for.
 #[derive(Clone, Copy, Debug)]
 struct SentRenewal {
     sent_at: Duration,
     lease_duration: Duration,
 }
 
-/// The node's own row.
+/// State of this node's own row and its renewals.
 #[derive(Debug, Default)]
 pub struct OwnRow {
     known: Known,
@@ -75,53 +76,54 @@
     retirement: Retirement,
 }
 
-/// How far the last write of a stopping node is.
+/// Progress of the final write, by which a stopping node fences its own row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Retirement {
-    /// It is not due.
+    /// The final write has not been sent.
     #[default]
     NotDue,
-    /// It was sent.
+    /// The final write was sent and is not answered yet.
     Sent,
-    /// It was answered, or it can't be made; it is not tried twice.
+    /// The final write was answered or is not possible; it is not retried.
     Ended,
 }
 
 impl OwnRow {
-    /// Up to when the committed renewals are good.
+    /// Time until which the last committed renewal is valid; `None` when there is none.
     pub fn valid_until(&self) -> Option<Duration> {
         let renewal = self.confirmed?;
         Some(renewal.sent_at + renewal.lease_duration)
     }
 
-    /// Whether the committed renewals are good at `now`.
+    /// Whether the last committed renewal is valid at `now`.
     pub fn is_valid(&self, now: Duration) -> bool {
         self.valid_until().is_some_and(|until| now < until)
     }
 
-    /// When the last renewal that is known to be committed was sent.
+    /// Send time of the last renewal that is known to be committed.
     pub fn renewed_at(&self) -> Option<Duration> {
         self.confirmed.map(|renewal| renewal.sent_at)
     }
 
-    /// Version of the row that last made all leases of this node void; 0 when none did.
+    /// Version of the own row that last voided all leases of this node; 0 when none did.
     ///
-    /// What older rows of groups give to this node is void as well, also where it learns of it only later.
+    /// Leases that group rows older than this version assign to this node are void too, even if the node reads
+    /// those rows only later.
     pub fn voided_version(&self) -> RowVersion {
         self.voided_version
     }
 
-    /// When this incarnation first saw its row in the table, so that no earlier one could renew any more.
+    /// When this incarnation first read its own row in the table. From then on no earlier incarnation can renew.
     pub fn joined_at(&self) -> Option<Duration> {
         self.joined_at
     }
 
-    /// How long a renewal is good for at present.
+    /// Lease duration of the last committed renewal.
     pub fn lease_duration(&self) -> Option<Duration> {
         self.confirmed.map(|renewal| renewal.lease_duration)
     }
 
-    /// Fences the own row, after which this incarnation never renews.
+    /// Fences the own row; this incarnation never renews afterwards.
     pub fn retire(&mut self, context: &mut Context<'_>) {
         if !self.is_retiring() || self.in_flight {
             return;
@@ -135,17 +137,17 @@
         self.renew(context, Some(version));
     }
 
-    /// Whether a row of this incarnation is there that is not known to be fenced.
+    /// Whether this incarnation has a committed row and the final write that fences it is not done.
     pub fn is_retiring(&self) -> bool {
         self.confirmed.is_some() && self.retirement != Retirement::Ended
     }
 
-    /// Asks for a renewal with the next round, because the row's content changed.
+    /// Makes the next round send a renewal, because the row's content has changed.
     pub fn renew_soon(&mut self) {
         self.next_at = Duration::ZERO;
     }
 
-    /// Sends the next renewal, or the read that has to come before it, when it is due.
+    /// Sends the next renewal when it is due, or the read that must precede it.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         let is_retired = self.retirement != Retirement::NotDue;
         if is_retired || self.in_flight || context.now < self.next_at {
@@ -231,7 +233,8 @@
             },
             TableOutcome::Unavailable => OwnRowNews::Unchanged,
             TableOutcome::Unknown => {
-                // The row tells whether the renewal took effect; only then is it counted.
+                // A renewal with an unknown outcome counts only if the row, when read, shows that it took
+                // effect.
                 if self.known != Known::Unread {
                     self.known = Known::Unread;
                     self.next_at = context.now;
@@ -246,7 +249,7 @@
         self.void()
     }
 
-    /// Takes in a sight of the own row, in whatever answer it came.
+    /// Processes the own row from any table answer.
     pub fn seen(&mut self, context: &mut Context<'_>, row: &Row) -> OwnRowNews {
         if row.version < self.newest_version {
             return OwnRowNews::Unchanged;
--- a/crates/dragonflystep_core/src/lease/rows.rs
+++ b/crates/dragonflystep_core/src/lease/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of nodes and groups in the table service.
+//! Format of the node rows and group rows in the table service.
 
 use {
     crate::{
@@ -9,11 +9,11 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Prefix of the rows of nodes.
+/// Key prefix of the node rows.
 pub const NODE_PREFIX: &str = "node/";
-/// Prefix of the rows of groups.
+/// Key prefix of the group rows.
 pub const GROUP_PREFIX: &str = "group/";
-/// Incarnation in the row of a released group, which no process has.
+/// Incarnation in the row of a released group; no process ever has it.
 const RELEASED_INCARNATION: Incarnation = 0;
 
 /// Row of a node: its entry in the member list, and the renewal of all leases that it holds.
@@ -21,29 +21,31 @@
 pub struct NodeRow {
     /// Incarnation that wrote the row.
     pub incarnation: Incarnation,
-    /// Data centre.
+    /// Data centre in which the node runs.
     pub data_centre: DataCentreId,
-    /// Where its peers reach it.
+    /// Address at which other nodes reach the node.
     pub mesh_address: Arc<str>,
-    /// Where callers reach it.
+    /// Address at which callers reach the node.
     pub caller_address: Arc<str>,
-    /// Name of its VM in the platform's VM list.
+    /// Name of the node's VM in the platform's VM list; absent when the node's settings name none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub vm: Option<Arc<str>>,
-    /// Whether the node is leaving.
+    /// Whether the node is stopping.
     pub leaving: bool,
-    /// How long the renewal is good for, counted by the node from before it sent it.
+    /// How long the renewal is valid, in milliseconds; the node counts from before it sent the renewal.
     pub lease_duration_ms: u64,
-    /// Number of the renewal within the incarnation, by which a lost answer is settled.
+    /// Number of the renewal within the incarnation. After a lost answer it shows whether the renewal took
+    /// effect.
     pub renewal: u64,
     /// Catalogue version in force at the node.
     pub catalogue_version: CatalogueVersion,
-    /// Whether a candidate took over from this incarnation; its leases are void then.
+    /// Whether the row is fenced, by a candidate that took over or by the stopping node itself. All leases of
+    /// the incarnation are void then.
     pub fenced: bool,
 }
 
 impl NodeRow {
-    /// Whether this is `before` with a fence, and nothing else.
+    /// Whether this row is `before` with `fenced` set and no other change.
     pub fn is_fence_of(&self, before: &Self) -> bool {
         let fenced = Self {
             fenced: true,
@@ -52,7 +54,7 @@
         *self == fenced
     }
 
-    /// How long the renewal is good for.
+    /// How long the renewal is valid.
     pub fn lease_duration(&self) -> Duration {
         Duration::from_millis(self.lease_duration_ms)
     }
@@ -61,20 +63,22 @@
 /// Row of a group: who holds its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRow {
-    /// The holder.
+    /// Node that holds the lease, or that released it last.
     pub holder: NodeId,
-    /// The holder's incarnation.
+    /// Incarnation of the holder; 0 when the lease was released.
     pub incarnation: Incarnation,
-    /// The epoch; rises by one with every change of holder.
+    /// Lease epoch; increases by one with every change of holder.
     pub epoch: Epoch,
-    /// Nodes whose majority may extend the lease while the platform is out, and must agree to a takeover.
+    /// Nodes of which a majority can extend the lease while the platform is unavailable, and must agree to a
+    /// takeover.
     ///
-    /// Empty while the holder knows of no other node, and when it released the lease: nobody can extend it.
+    /// Empty while the holder knows of no other node and has not been alone for long, and after it released the
+    /// lease. Nobody can extend the lease then.
     pub voters: Vec<NodeId>,
 }
 
 impl GroupRow {
-    /// The row that releases the lease of this one, whose holder has ceased to grant.
+    /// The row that releases this lease. The holder must have stopped granting before it is written.
     pub fn released(&self) -> Self {
         Self {
             holder: self.holder.clone(),
@@ -110,14 +114,14 @@
     format!("{GROUP_PREFIX}{group}").into()
 }
 
-/// Name and content of a node's row; none for another row or content that can't be read.
+/// Node name and content of a node row; `None` for any other row or for content that can't be parsed.
 pub fn read_node_row(row: &Row) -> Option<(NodeId, NodeRow)> {
     let node = row.key.strip_prefix(NODE_PREFIX)?;
     let content = serde_json::from_str(&row.value).ok()?;
     Some((node.into(), content))
 }
 
-/// Name and content of a group's row; none for another row or content that can't be read.
+/// Group name and content of a group row; `None` for any other row or for content that can't be parsed.
 pub fn read_group_row(row: &Row) -> Option<(Arc<str>, GroupRow)> {
     let group = row.key.strip_prefix(GROUP_PREFIX)?;
     let content = serde_json::from_str(&row.value).ok()?;
--- a/crates/dragonflystep_core/src/lease/support.rs
+++ b/crates/dragonflystep_core/src/lease/support.rs
@@ -1,8 +1,8 @@
-//! Votes on leases: what this node has promised as a voter.
+//! Votes on leases: the promises and agreements that this node has made as a voter.
 //!
-//! Votes are soft state. A voter that restarts has forgotten what it promised, so it refuses takeovers until
-//! every promise that it may have made has run out. It has also forgotten to which takeovers it agreed, so it
-//! supports a holder only after it has seen the holder's row change: see `cleared_from` of
+//! Votes are soft state. A voter that restarts has lost its promises, so it refuses takeovers until every
+//! promise that it may have made has expired. It has also lost its agreements to takeovers, so it supports a
+//! holder only after it has seen the holder's row change: see `cleared_from` of
 //! [`WatchedNode`]. The safety argument is in the documentation of [`super`].
 
 use {
@@ -15,7 +15,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A promise to a holder.
+/// A promise to support the holder of an epoch until a time on this node's clock.
 #[derive(Clone, Debug)]
 struct Promise {
     epoch: Epoch,
@@ -29,12 +29,12 @@
     agreed_at: Duration,
 }
 
-/// A lease as the voter has seen it in the table.
+/// A lease as the voter has last read it from the table.
 #[derive(Clone, Copy, Debug)]
 pub struct SeenLease<'a> {
-    /// Row of the group.
+    /// Row of the leased group.
     pub row: &'a GroupRow,
-    /// Row of the holder.
+    /// Row of the node that holds the lease.
     pub node: &'a WatchedNode,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What this node has promised as a voter.
+/// Promises and agreements that this node has made as a voter.
 #[derive(Debug, Default)]
 pub struct Votes {
     started_at: Duration,
@@ -57,12 +57,13 @@
 }
 
 impl Votes {
-    /// Notes the start, before which promises may have been made that are forgotten now.
+    /// Records the start time of this process. Promises made before it are lost.
     pub fn started(&mut self, now: Duration) {
         self.started_at = now;
     }
 
-    /// Answers a holder that wants support, or a candidate that wants to take over.
+    /// Decides on the request of a holder for support or of a candidate for a takeover; returns whether it is
+    /// granted.
     pub fn answer(
         &mut self,
         now: Duration,
@@ -87,7 +88,8 @@
         holder: &WatchedNode,
         request: &SupportRequest,
     ) -> bool {
-        // A restarted voter waits out `lease_duration`, so no promise may last longer.
+        // A restarted voter refuses takeovers for only `lease_duration` and a margin, so no promise may last
+        // longer.
         if request.lasts > tuning.lease_duration {
             return false;
         }
--- a/crates/dragonflystep_core/src/lease/takeover.rs
+++ b/crates/dragonflystep_core/src/lease/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking groups over: those without a row, and those whose holder has ceased to renew.
+//! Takes over groups that have no row yet and groups whose holder no longer renews its lease.
 
 use {
     super::{
@@ -18,26 +18,26 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How much longer each next node waits before it tries, so that they don't all try at once.
+/// Extra delay per rank before a node attempts a takeover, so that candidates do not all try at once.
 const RANK_DELAY: Duration = Duration::from_millis(150);
-/// How often a candidate asks the voters that have not agreed.
+/// Interval at which a candidate asks again those voters that have not agreed yet.
 const ASK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a candidate has seen; every vote and the transaction hold for exactly this.
+/// Row versions that a candidate has observed. Votes and the transaction are valid only for these versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Basis {
-    /// Version of the group's row; none when it is absent.
+    /// Version of the group's row; `None` when the row is absent.
     group: Option<RowVersion>,
-    /// What is known of the holder's row.
+    /// Condition that the transaction places on the holder's row.
     holder: HolderBasis,
 }
 
-/// What the transaction demands of the holder's row.
+/// Condition on the holder's row in a takeover transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HolderBasis {
-    /// Nothing: there is no holder, or it can't renew any more whatever becomes of its row.
+    /// No condition: there is no holder, or it can no longer renew, whatever happens to its row.
     Free,
-    /// The row is still at this version (none: absent).
+    /// The row must still be at this version, or still be absent for `None`.
     At(Option<RowVersion>),
 }
 
@@ -46,9 +46,9 @@
 pub(super) struct Candidacy {
     basis: Basis,
     due_at: Duration,
-    /// Whether no other node should try before.
+    /// Whether this node has rank 0, so that no other node should try before it.
     is_first: bool,
-    /// Whether the rows were read again when it was due; another node may have been faster.
+    /// Whether the rows were read again after `due_at`, since another node may have taken the group meanwhile.
     has_read: bool,
     asked_from: Option<Duration>,
     ask_next_at: Duration,
@@ -56,7 +56,10 @@
 }
 
 impl Leases {
-    /// Groups that may want something of this node; nearly always none, at little cost.
+    /// Groups for which this node may have to act: those without a row, those whose row names this node although
+    /// it
+    /// does not hold them, those with a newer announced holder, and those whose holder may no longer renew.
+    /// The result is nearly always empty and cheap to compute.
     pub(super) fn groups_in_want(&self, context: &Context<'_>) -> Vec<GroupId> {
         let view = &context.view;
         let may_want = |group: &GroupId| {
@@ -78,13 +81,13 @@
 
     fn renewals(&self, context: &Context<'_>, known: &KnownGroup) -> Renewals {
         if known.row.is_released() {
-            // Nobody ever held this epoch, so that there is nothing to wait for and no vote is wanted.
+            // Nobody ever held a released epoch, so a takeover needs neither a wait nor votes.
             return Renewals::Replaced {
                 unchanged_for: Duration::MAX,
             };
         }
         if known.row.holder == context.view.node.id {
-            // The own row has replaced that of the earlier incarnation.
+            // This incarnation's row has replaced the row of the earlier one.
             let joined_at = self.own.joined_at().unwrap_or(context.now);
             return Renewals::Replaced {
                 unchanged_for: context.now - joined_at,
@@ -99,7 +102,7 @@
         )
     }
 
-    /// Looks whether a group wants a holder.
+    /// Checks whether this node should take or resume the lease of a group, and takes the next step if so.
     pub(super) fn look_after(&mut self, context: &mut Context<'_>, group: &GroupId) {
         if !self.may_change(context, group) {
             return;
@@ -138,7 +141,7 @@
         can_choose && !is_held && !is_changing && !is_early
     }
 
-    /// Takes a group whose holder can't renew any more.
+    /// Attempts a takeover of a group whose holder can no longer renew its lease.
     fn take_when_ended(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
         let (holder, unchanged_for) = match self.renewals(context, known) {
             Renewals::Possible => {
@@ -162,14 +165,15 @@
         self.try_when_due(context, group, basis, Some((known, unchanged_for)));
     }
 
-    /// Takes up a lease that the table gives to this incarnation.
+    /// Acquires a lease that the table assigns to this incarnation, or writes the next epoch if this one was
+    /// given up.
     fn take_own(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
         let is_void = known.version < self.own.voided_version();
         if !is_void && !self.has_given_up(group, known.row.epoch) {
             self.acquire(context, group, known.row.epoch);
             return;
         }
-        // Nobody holds the epoch that this node gave up, so that no votes are wanted for the next.
+        // Nobody holds the epoch that this node gave up, so the next epoch needs no votes.
         let epoch = known.row.epoch + 1;
         let write = self.takeover_write(context, group, epoch);
         let conditions = vec![self.row_condition(group)];
@@ -261,7 +265,7 @@
         })
     }
 
-    /// Whether a voter's process has ended so long ago that its promises have run out.
+    /// Whether the voter's process has been known to be dead for so long that its promises have expired.
     fn is_dead_voter(&self, context: &Context<'_>, voter: &NodeId) -> bool {
         let tuning = &context.view.tuning;
         let promises_last = tuning.lease_duration + drift_margin(tuning, tuning.lease_duration);
@@ -298,7 +302,7 @@
         }
     }
 
-    /// Counts a vote for a takeover.
+    /// Counts a vote for a takeover and attempts the takeover again.
     pub(super) fn takeover_answered(
         &mut self,
         context: &mut Context<'_>,
@@ -309,14 +313,14 @@
             return;
         };
         if answer.epoch > known.row.epoch {
-            // Another node gave the group to this one, or knows of a newer holder.
+            // The group was handed over to this node, or the voter knows of a newer holder.
             self.read_group(context, &answer.group);
             return;
         }
         let Some(candidacy) = self.candidacies.get_mut(&answer.group) else {
             return;
         };
-        // A vote for an earlier attempt holds for other versions of the rows.
+        // A vote for an earlier attempt applies to other versions of the rows.
         let is_for_this = candidacy
             .asked_from
             .is_some_and(|asked_from| answer.sent_at >= asked_from);
@@ -382,7 +386,7 @@
         }
     }
 
-    /// Asks one voter, which may be this node itself.
+    /// Sends a support request to a voter; if the voter is this node, answers it directly.
     pub(super) fn ask_voter(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/dragonflystep_core/src/lease/timing.rs
+++ b/crates/dragonflystep_core/src/lease/timing.rs
@@ -1,7 +1,7 @@
-//! Lengths of time of the lease and member protocols, scaled with the number of nodes.
+//! Intervals and durations of the lease and membership protocols, scaled with the number of nodes.
 //!
-//! The platform's service takes several hundred writes and about two thousand reads a second from all
-//! nodes together, so the cost of one node has to fall as their number rises.
+//! The platform's table service handles several hundred writes and about two thousand reads a second from all
+//! nodes together, so the load of each node has to fall as the number of nodes rises.
 
 use {
     crate::{context::View, state::Tuning},
@@ -9,16 +9,16 @@
     std::time::Duration,
 };
 
-/// Renewal interval added by each node; keeps all renewals together below 170 writes a second.
+/// Renewal interval per node of the system; keeps the renewals of all nodes together below 170 writes a second.
 const RENEWAL_PER_NODE: Duration = Duration::from_millis(6);
-/// Interval between two scans of the member list in a small system.
+/// Minimum interval between two scans of the member list, and between two scans of the group rows.
 const SHORTEST_MEMBER_SCAN: Duration = Duration::from_secs(1);
-/// Member scan interval added by each node; keeps the bytes that a node reads constant.
+/// Member scan interval per node of the system; keeps the bytes that a node reads per second constant.
 ///
-/// A row costs about 330 bytes, so this makes 8 KB a second; at 20 ms for each node the two scans together
-/// were measured to take 19 of the 25 KB that a node has for all its control.
+/// A row takes about 330 bytes, so this makes 8 KB a second. At 20 ms per node the two scans together would take
+/// 19 of the 25 KB a second that a node may use for all its control traffic.
 const MEMBER_SCAN_PER_NODE: Duration = Duration::from_millis(40);
-/// Lease scan interval added by each node; holders announce themselves, so that scans are a second way.
+/// Lease scan interval per node of the system. Holders announce themselves, so scans are only a fallback.
 const LEASE_SCAN_PER_NODE: Duration = Duration::from_millis(120);
 
 /// Number of nodes, this one included.
@@ -32,7 +32,7 @@
     view.tuning.lease_renewal.max(scaled)
 }
 
-/// How long a renewal is good for; stretched together with the renewal interval.
+/// How long a renewal is valid; scaled together with the renewal interval.
 pub fn lease_duration(view: &View) -> Duration {
     let tuning = &view.tuning;
     let stretch = renewal_interval(view).as_secs_f64() / tuning.lease_renewal.as_secs_f64();
@@ -51,9 +51,10 @@
     SHORTEST_MEMBER_SCAN.max(scaled)
 }
 
-/// What has to be added to a length of time before another node's clock has surely counted it too.
+/// Margin to add to a duration so that another node's clock has certainly counted that duration too.
 ///
-/// Two clocks may drift apart by `drift_margin` over one `lease_duration`, and in proportion over more.
+/// Two clocks may drift apart by `drift_margin` over one `lease_duration`, and proportionally more over longer
+/// times.
 ///
 /// # Examples
 /// ```
@@ -68,7 +69,7 @@
     tuning.drift_margin.mul_f64(stretch.max(1.0))
 }
 
-/// A length of time changed by up to a tenth, so that nodes that started together drift apart.
+/// A duration changed at random by up to 10 %, so that nodes that started together do not act in step.
 pub fn jittered(random: &mut SmallRng, length: Duration) -> Duration {
     length.mul_f64(random.random_range(0.9..1.1))
 }
--- a/crates/dragonflystep_core/src/lease/upkeep.rs
+++ b/crates/dragonflystep_core/src/lease/upkeep.rs
@@ -1,4 +1,4 @@
-//! What the lease rounds keep up to date: scans, watched holders, dead nodes and their rows.
+//! Periodic work of the lease rounds: scans, watched holders, and dead nodes and their rows.
 
 use {
     super::{
@@ -18,25 +18,25 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How many nodes watch the holder of each group.
+/// Number of nodes that watch the holder of each group.
 const WATCHERS: usize = 3;
-/// How often the list of watched holders is worked out again.
+/// Interval at which the list of watched holders is recomputed.
 const WATCH_LIST_INTERVAL: Duration = Duration::from_secs(10);
-/// How often a watched holder is looked at.
+/// Interval between two checks of a watched holder.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Silence after which a watched holder is probed.
 const PROBE_SILENCE: Duration = Duration::from_millis(500);
 /// Silence after which a watched holder's row is read.
 const READ_SILENCE: Duration = Duration::from_millis(900);
-/// More new groups than this are read by one scan.
+/// Maximum number of new groups that are read one by one; more are read by one scan.
 const MOST_SINGLE_READS: usize = 8;
-/// Wait before a scan for new groups, for each node, so that not all of them scan at once.
+/// Wait before a scan for new groups, per node of the system, so that not all nodes scan at once.
 const SHORTEST_SCAN_WAIT: Duration = Duration::from_millis(15);
-/// How long the row of a dead node is left for others to see.
+/// How long the row of a dead node is kept, so that other nodes can read it.
 const DEAD_ROW_KEPT: Duration = Duration::from_secs(180);
 
 impl Leases {
-    /// Takes in which groups the catalogue names; groups that it no longer names are given up.
+    /// Updates the set of groups from the catalogue, and gives up held groups that it no longer names.
     pub(super) fn catalogue_applied(&mut self, context: &mut Context<'_>) {
         self.groups = context
             .view
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Scans the rows of the groups when it is time.
+    /// Scans the group rows when a scan is due.
     pub(super) fn scan_when_due(&mut self, context: &mut Context<'_>) {
         if self.scan_in_flight || context.now < self.next_scan_at {
             return;
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Notes since when nodes are known to be dead.
+    /// Records since when each node has been confirmed dead.
     pub(super) fn note_dead(&mut self, context: &mut Context<'_>) {
         let confirmed = &context.view.confirmed_gone;
         self.dead_since.retain(|node, _| confirmed.contains(node));
@@ -94,9 +94,10 @@
         }
     }
 
-    /// Looks at the holders of the groups that this node would be among the first to take over.
+    /// Probes silent holders, and reads their rows, for the groups that this node would be among the first to
+    /// take over.
     ///
-    /// This way each holder is watched by a few nodes, at a constant cost for each node.
+    /// Each holder is thus watched by a few nodes, at a constant cost per node.
     pub(super) fn watch_holders(&mut self, context: &mut Context<'_>) {
         if context.now >= self.next_watch_list_at {
             self.next_watch_list_at = context.now + jittered(context.random, WATCH_LIST_INTERVAL);
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Reads the row of one node.
+    /// Reads the row of one node, unless a read or removal of it is in flight.
     pub(super) fn read_node(&mut self, context: &mut Context<'_>, node: &NodeId) {
         if self.node_reads.contains_key(node) {
             return;
@@ -167,12 +168,13 @@
         }
     }
 
-    /// Removes the rows of nodes that died long ago; one node does so for each.
+    /// Removes the rows of nodes that died long ago. For each row, one node does so, chosen by rendezvous
+    /// hashing.
     fn remove_dead_rows(&mut self, context: &mut Context<'_>) {
         let own = context.view.node.id.clone();
         let live = live_nodes(context.view);
         let rows = self.rows.values().map(|known| &known.row);
-        // The row of a voter is left, since the proof of its death counts for its vote.
+        // The row of a voter is kept, since proof of the voter's death counts as its vote.
         let named: BTreeSet<&NodeId> = rows
             .flat_map(|row| std::iter::once(&row.holder).chain(&row.voters))
             .collect();
--- a/crates/dragonflystep_core/src/lease/watch.rs
+++ b/crates/dragonflystep_core/src/lease/watch.rs
@@ -1,4 +1,4 @@
-//! What this node has seen of the rows of other nodes, timed by its own clock.
+//! Records the node rows that this node has read, with times on its own clock.
 
 use {
     super::{rows::NodeRow, timing::drift_margin},
@@ -12,27 +12,27 @@
     },
 };
 
-/// What was seen of one node's row.
+/// What this node knows of one node's row.
 #[derive(Clone, Debug)]
 pub struct WatchedNode {
     /// Newest version seen.
     pub version: RowVersion,
-    /// Its content.
+    /// Content of the row at that version.
     pub content: NodeRow,
     /// When this version was first seen.
     pub since: Duration,
-    /// When this version was last seen; what became of the row since then is not known.
+    /// When this version was last seen; the row may have changed since then.
     seen_at: Duration,
-    /// When the last read that showed this version was sent, where that is known.
+    /// When the last read that returned this version was sent, if known.
     read_sent_at: Option<Duration>,
-    /// When a read was sent that showed a version which a later one has replaced.
+    /// Send time of the latest read that returned a version which has since been replaced by a newer one.
     ///
-    /// Whatever was agreed before that time for a takeover was agreed for an older version of the row than
-    /// the present one, so that the takeover can no longer be committed.
+    /// A takeover agreed to before that time was agreed to for an older version of the row than the present one,
+    /// so it can no longer be committed.
     pub cleared_from: Option<Duration>,
 }
 
-/// What was seen of all nodes' rows.
+/// What this node knows of all node rows.
 #[derive(Debug, Default)]
 pub struct NodeWatch {
     nodes: BTreeMap<NodeId, WatchedNode>,
@@ -42,33 +42,34 @@
 /// Whether the holder of a lease may still renew it by its node row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Renewals {
-    /// It may, or nobody knows.
+    /// The holder may still renew, or this is not known.
     Possible,
-    /// Certainly not, if the row still has this version (none: is still absent) when that is acted on.
+    /// The holder can't renew, provided that the row still has this version, or is still absent for `None`, when
+    /// the takeover is committed.
     Ended {
-        /// Version of the node's row.
+        /// Version of the node's row; `None` when it is absent.
         version: Option<RowVersion>,
         /// How long the row has been unchanged.
         unchanged_for: Duration,
     },
-    /// Certainly not, whatever becomes of the row: it is fenced, or another incarnation wrote it.
+    /// The holder can't renew, whatever happens to the row: it is fenced, or another incarnation wrote it.
     ///
-    /// The incarnation can only renew what it has seen, so it has to see that its leases are void.
+    /// An incarnation can renew only a version that it has read, so it must first read that its leases are void.
     Replaced {
         /// How long the row has been unchanged.
         unchanged_for: Duration,
     },
-    /// The row was not in the last scan; a read of it has to confirm that.
+    /// The row has not been seen; a read has to confirm that it is absent.
     Missing,
 }
 
 impl NodeWatch {
-    /// What was seen of one node.
+    /// What is known of one node's row; `None` when it was not seen.
     pub fn get(&self, node: &str) -> Option<&WatchedNode> {
         self.nodes.get(node)
     }
 
-    /// Takes in a sight of a row; `read_sent_at` is when the read that showed it was sent, where known.
+    /// Processes a row from a table answer. `read_sent_at` is when the read that returned it was sent, if known.
     pub fn seen(
         &mut self,
         now: Duration,
@@ -90,7 +91,7 @@
             }
         }
         let before = self.nodes.get(node);
-        // A fence is the word of a candidate and no renewal: the time since the last renewal goes on.
+        // A fence is not a renewal by the holder, so the time since the last renewal continues.
         let since = before
             .filter(|before| content.is_fence_of(&before.content))
             .map_or(now, |before| before.since);
@@ -106,26 +107,26 @@
         self.nodes.insert(node.clone(), watched);
     }
 
-    /// Takes in that a read found no row.
+    /// Records that a read found no row for the node.
     pub fn seen_absent(&mut self, now: Duration, node: &NodeId) {
         self.nodes.remove(node);
         self.absent_since.entry(node.clone()).or_insert(now);
     }
 
-    /// All nodes whose rows were seen.
+    /// All nodes whose rows were seen, with what is known of them.
     pub fn all(&self) -> impl Iterator<Item = (&NodeId, &WatchedNode)> {
         self.nodes.iter()
     }
 
-    /// Takes in which nodes a scan found.
+    /// Drops the nodes that a scan did not find.
     pub fn keep_only(&mut self, found: &BTreeSet<NodeId>) {
         self.nodes.retain(|node, _| found.contains(node));
     }
 
     /// Whether `incarnation` of `node` may still renew its leases by its row.
     ///
-    /// `group_version` is the version of the row that names them as the holder. A sight of the node's row
-    /// that is older than that may be from before the incarnation began.
+    /// `group_version` is the version of the group row that names them as the holder. A version of the node's
+    /// row that is older than that may predate the incarnation.
     pub fn renewals_of(
         &self,
         now: Duration,
--- a/crates/dragonflystep_core/src/lib.rs
+++ b/crates/dragonflystep_core/src/lib.rs
@@ -1,11 +1,13 @@
-//! The reducer of dragonflystep: every scheduling decision as a pure function from events to effects.
+//! The decision core of dragonflystep: a reducer that makes every scheduling decision as a deterministic
+//! function from events to effects.
 //!
-//! This crate does no I/O, reads no clock and draws no randomness of its own. A driver hands it an
-//! [`Event`] with the time at which it happened; it changes its [`State`] and answers with a list of
-//! [`Effect`]s that the driver carries out. The running node, the virtual-time experiments, the
-//! property tests and the golden sessions all drive this same code.
+//! This crate does no I/O, reads no clock, and draws random numbers only from a generator that the driver seeds.
+//! A driver passes an [`Event`] with the time at which it happened to the [`State`], which updates itself and
+//! returns a list of [`Effect`]s for the driver to carry out. The running node, the virtual-time experiments,
+//! the property tests and the golden sessions all use this same code.
 //!
-//! Read [`event`], [`effect`] and [`message`] first: they are the vocabulary of the whole system.
+//! Start reading at [`event`], [`effect`] and [`message`], which define the inputs, outputs and messages of the
+//! system.
 
 pub mod admin;
 pub mod broker;
@@ -35,7 +37,7 @@
     state::{NodeIdentity, PolicyParts, State, Tuning},
 };
 
-/// What nearly every user of this crate needs.
+/// Types that nearly every user of this crate needs.
 pub mod prelude {
     pub use crate::{
         catalogue::Catalogue,
--- a/crates/dragonflystep_core/src/membership/mod.rs
+++ b/crates/dragonflystep_core/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! Membership: which nodes there are, and which upstreams are leaving.
+//! Membership: the nodes of the system, and the upstreams that are leaving.
 //!
-//! Members come from the node rows in the table service, which each node scans now and then; probes of
-//! random peers, and all other messages, tell in between who is reachable. Each node's cost is constant but
-//! for the scan, whose interval grows with the number of nodes. With the table out, the last known members
-//! stay: an outage of the platform says nothing about them.
+//! Members come from the node rows in the table service, which each node scans periodically. Between scans,
+//! probes of random peers and all other messages show which members are reachable. The cost per node is constant
+//! except for the scan, whose interval grows with the number of nodes. While the table service is unavailable
+//! the last known members are kept, since an outage of the platform says nothing about them.
 
 mod probe;
 mod scan;
@@ -26,7 +26,7 @@
     },
 };
 
-/// State of this part.
+/// Membership state of this node: the node rows it has read, its open probes and the VM list.
 #[derive(Debug, Default)]
 pub struct Membership {
     seen: BTreeMap<NodeId, SeenNode>,
@@ -39,12 +39,13 @@
 }
 
 impl Membership {
-    /// Starts the rounds.
+    /// Starts the membership rounds.
     pub fn start(&mut self, context: &mut Context<'_>) {
         self.round_due(context);
     }
 
-    /// Probes a peer and reads the member list when it is time.
+    /// Runs a membership round: scans the member list if due, probes random members and repeats VM
+    /// announcements.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         let interval = jittered(context.random, context.view.tuning.probe_interval);
         context.start_timer(interval, Timer::MembershipRound);
@@ -53,7 +54,7 @@
         self.tell_vms_again(context);
     }
 
-    /// Notes that a node is alive.
+    /// Records that a message from a node arrived, which clears any suspicion of it.
     pub fn heard(&mut self, context: &mut Context<'_>, from: &NodeId) {
         let Some(member) = context.view.members.get_mut(from) else {
             return;
@@ -63,21 +64,21 @@
         context.view.confirmed_gone.remove(from);
     }
 
-    /// Takes a leaving node out of the address list at once.
+    /// Marks a member as leaving as soon as it announces that, without waiting for the next scan.
     pub fn leaving(&mut self, context: &mut Context<'_>, node: &NodeId) {
         if let Some(member) = context.view.members.get_mut(node) {
             member.leaving = true;
         }
     }
 
-    /// Suspects a node that can't be reached.
+    /// Marks a member that can't be reached as suspected.
     pub fn peer_lost(&mut self, context: &mut Context<'_>, node: &NodeId) {
         if let Some(member) = context.view.members.get_mut(node) {
             member.suspected = true;
         }
     }
 
-    /// Handles the VM list.
+    /// Handles a reading of the VM list.
     pub fn vm_list_read(
         &mut self,
         context: &mut Context<'_>,
@@ -93,14 +94,15 @@
         self.tell_vms(context, news);
     }
 
-    /// Hears from the other parts.
+    /// Handles a signal from another part of the reducer.
     pub fn signal(&mut self, context: &mut Context<'_>, signal: &Signal) {
         if *signal == Signal::CatalogueApplied {
             self.update_leaving_upstreams(context);
         }
     }
 
-    /// Takes a node out of the members: its process has ended, or it was replaced.
+    /// Removes a node from the members, because its process has ended, it was replaced, or it was silent for too
+    /// long.
     fn remove_member(&mut self, context: &mut Context<'_>, node: &NodeId) {
         let Some(member) = context.view.members.remove(node) else {
             return;
--- a/crates/dragonflystep_core/src/membership/probe.rs
+++ b/crates/dragonflystep_core/src/membership/probe.rs
@@ -1,4 +1,5 @@
-//! Probes: a random peer at a time, so that a node's cost does not grow with the number of nodes.
+//! Failure detection by probes: each round probes one random member, so that the cost per node does not grow
+//! with the number of nodes.
 
 use {
     super::Membership,
@@ -11,14 +12,15 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Longest wait for the answer to a probe, in probe intervals.
+/// Timeout of a probe, in probe intervals.
 const ANSWER_INTERVALS: u32 = 2;
-/// Peers probed at a time by a node that is about to lose trust in its catalogue version.
+/// Members probed per round when more than half of the time has passed for which the catalogue version is
+/// trusted without a confirmation.
 const PROBES_WITHOUT_CONFIRMATION: usize = 3;
-/// Most probes that are open to one peer.
+/// Maximum number of unanswered probes kept per member.
 const OPEN_PROBES: usize = 4;
 
-/// Probes that were sent and not answered.
+/// Send times of the unanswered probes to each member.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
     open: BTreeMap<NodeId, Vec<Duration>>,
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Whether this node sent the probe that was answered; an echo of a foreign clock proves nothing.
+    /// Closes the answered probe and all earlier ones to that node, and returns whether this node sent it. An
+    /// answer that echoes an unknown send time proves nothing.
     fn answered(&mut self, node: &NodeId, sent_at: Duration) -> bool {
         let Some(open) = self.open.get_mut(node) else {
             return false;
@@ -61,10 +64,10 @@
 }
 
 impl Membership {
-    /// Probes a random member, and suspects those that did not answer.
+    /// Probes random members, and suspects those that did not answer an earlier probe in time.
     ///
-    /// A node whose own reads of the catalogue's head fail lives on its peers' confirmations, and asks more of
-    /// them.
+    /// A node whose own reads of the catalogue's head fail depends on its peers to confirm its catalogue
+    /// version, so it probes more of them.
     pub(super) fn probe_some(&mut self, context: &mut Context<'_>) {
         let patience = context.view.tuning.probe_interval * ANSWER_INTERVALS;
         if let Some(sent_before) = context.now.checked_sub(patience) {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Answers a probe.
+    /// Handles a probe and answers it.
     pub fn probed(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         self.note_probe(context, from, probe);
         let view = &context.view;
@@ -107,7 +110,7 @@
         context.send(from, Message::ProbeAnswer(answer));
     }
 
-    /// Handles the answer to a probe; says whether it answers a probe that this node sent.
+    /// Handles the answer to a probe, and returns whether it answers a probe that this node sent.
     pub fn probe_answered(
         &mut self,
         context: &mut Context<'_>,
@@ -123,7 +126,8 @@
             return;
         };
         if member.incarnation != probe.incarnation {
-            // The row of the new incarnation tells its addresses; until then nothing is known of it.
+            // The addresses of the new incarnation are known only from its row, so the row is read before
+            // anything is recorded about it.
             self.next_scan_at = Duration::ZERO;
             return;
         }
--- a/crates/dragonflystep_core/src/membership/scan.rs
+++ b/crates/dragonflystep_core/src/membership/scan.rs
@@ -1,4 +1,4 @@
-//! The member list in the table service.
+//! Builds the member list from scans of the node rows in the table service.
 
 use {
     super::Membership,
@@ -16,29 +16,29 @@
     },
 };
 
-/// Lease durations without a renewal and without a sound after which a node is gone for good.
+/// Number of lease durations without a renewal and without a message after which a member is removed.
 const GONE_LEASE_DURATIONS: u32 = 3;
 
-/// What was seen of a node's row.
+/// What this node last read in another node's row.
 #[derive(Clone, Debug)]
 pub(super) struct SeenNode {
     version: RowVersion,
     since: Duration,
     lease_duration: Duration,
     fenced: bool,
-    /// Whether it said itself that it serves nobody any more.
+    /// Whether the node fenced its own row when it stopped, and so serves no requests any more.
     retired: bool,
-    /// Name of its VM.
+    /// Name of the node's VM, if the row names one.
     pub(super) vm: Option<Arc<str>>,
 }
 
 impl Membership {
-    /// When the scan that is under way was sent.
+    /// When the latest scan was sent.
     pub fn scan_sent_at(&self) -> Duration {
         self.scan_sent_at
     }
 
-    /// Scans the node rows when it is time.
+    /// Scans the node rows when a scan is due.
     pub(super) fn scan_when_due(&mut self, context: &mut Context<'_>) {
         if self.scan_in_flight || context.now < self.next_scan_at {
             return;
@@ -64,7 +64,8 @@
             return;
         };
         if std::mem::take(&mut self.has_gap) {
-            // Nobody could renew while the table was out, so that all have their time again.
+            // No node could renew while the table was unavailable, so the time without a renewal starts again
+            // for all.
             for seen in self.seen.values_mut() {
                 seen.since = context.now;
             }
@@ -161,7 +162,7 @@
         confirmed_gone.retain(|node| seen.contains_key(node));
     }
 
-    /// Notes which nodes are no members, but not known to have ended.
+    /// Updates the nodes that have a row and are not members, but whose process is not known to have ended.
     fn note_silent(&self, context: &mut Context<'_>, found: &BTreeSet<NodeId>) {
         let view = &context.view;
         let silent = self.seen.iter().filter(|(node, seen)| {
@@ -171,7 +172,7 @@
         context.view.silent = silent.map(|(node, _)| node.clone()).collect();
     }
 
-    /// VM names of the nodes whose rows were seen.
+    /// VM name of each node whose row was read and names one.
     pub(super) fn vms_of_nodes(&self) -> BTreeMap<NodeId, Arc<str>> {
         self.seen
             .iter()
--- a/crates/dragonflystep_core/src/membership/vms.rs
+++ b/crates/dragonflystep_core/src/membership/vms.rs
@@ -1,8 +1,10 @@
-//! The platform's VM list, which lags: a VM that was listed before and is not now is gone.
+//! Tracks the platform's VM list, which lags behind the actual state. A VM that was listed before and no longer
+//! is counts as gone.
 //!
-//! With many nodes each reads the list seldom, and whoever finds in it a VM that takes no new work tells some
-//! others, who pass on what is new to them. What was told only keeps new work away, until a reading of one's own
-//! that is late enough to show the same; that a node has ended is believed from one's own readings alone.
+//! With many nodes, each node reads the list rarely. A node that finds a VM that takes no new work there reports
+//! it to some other nodes by gossip, and each of them passes on what is new to it. A gossip report only keeps
+//! new work away from a VM, and expires once the node's own readings are recent enough to show the same. Whether
+//! a node's process has ended is decided from this node's own readings alone.
 
 use {
     super::Membership,
@@ -21,35 +23,36 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Silence that has to bear out the VM list before a node counts as gone.
+/// How long a node must also have been silent before its absence from the VM list confirms it as gone.
 const SILENCE_OF_GONE_NODE: Duration = Duration::from_secs(1);
 
-/// Shortest time between two readings; one small read a second and a half keeps a leaving VM within its few seconds.
+/// Minimum interval between two readings. One small read every 1.5 seconds keeps the time in which a leaving VM is
+/// noticed within a few seconds.
 const SHORTEST_READ_INTERVAL: Duration = Duration::from_millis(1500);
-/// Nodes that read at the shortest interval.
+/// Maximum number of nodes in a system whose nodes all read the VM list at the shortest interval.
 pub const FEW_NODES: usize = 8;
-/// Time after which a reading shows what another node had read before.
+/// Lifetime of a gossip report; after it, this node's own readings show what the reporting node had read.
 const AGREEMENT: Duration = Duration::from_secs(5);
-/// Nodes that are told of a VM, and told on by each that learns of it.
+/// Number of nodes to which each node that learns of a VM passes it on in one round.
 const RECEIVERS: usize = 8;
-/// Most VMs in one message.
+/// Maximum number of VMs in one message.
 const MOST_TOLD: usize = 64;
 
-/// What the VM list said.
+/// VMs as last read from the list, and those reported by other nodes.
 #[derive(Debug, Default)]
 pub(super) struct Vms {
     live: BTreeSet<Arc<str>>,
     leaving: BTreeSet<Arc<str>>,
     ever_listed: BTreeSet<Arc<str>>,
     is_read: bool,
-    /// VMs that take no new work as others told, and when they did.
+    /// VMs that take no new work according to other nodes, with the time of the report.
     told: BTreeMap<Arc<str>, Duration>,
-    /// VMs of which others are told once more.
+    /// VMs that are announced a second time in the next round.
     again: Vec<Arc<str>>,
 }
 
 impl Vms {
-    /// Takes in the list; which VMs take no new work that did before.
+    /// Stores a reading of the list, and returns the VMs that take no new work any more but did before.
     pub(super) fn read(
         &mut self,
         now: Duration,
@@ -71,7 +74,7 @@
         self.is_read = true;
         self.told.retain(|_, told_at| now < *told_at + AGREEMENT);
         if !known.is_read {
-            // What a first reading shows is no news.
+            // With nothing to compare it to, the first reading shows no changes.
             return Vec::new();
         }
         let listed = self.ever_listed.iter();
@@ -79,7 +82,7 @@
         news.cloned().collect()
     }
 
-    /// Takes in what another node found; which of it is new here.
+    /// Records VMs reported by another node, and returns those that are new to this node.
     fn tell(&mut self, now: Duration, vms: &[Arc<str>]) -> Vec<Arc<str>> {
         let news = vms.iter().filter(|vm| !self.takes_no_work(vm));
         let news: Vec<Arc<str>> = news.cloned().collect();
@@ -87,7 +90,7 @@
         news
     }
 
-    /// Forgets names of the past that nothing refers to any more.
+    /// Forgets VMs that are no longer listed and that nothing refers to any more.
     pub(super) fn keep_only(&mut self, referred: &BTreeSet<Arc<str>>) {
         let (live, leaving) = (&self.live, &self.leaving);
         self.ever_listed
@@ -105,10 +108,10 @@
 
 /// How long a node waits before it reads the VM list again.
 ///
-/// Up to [`FEW_NODES`] nodes it is the shortest interval; with more it grows with them, so that the platform answers as
-/// many readings a second, and a node's bytes stay the same while the list grows with the nodes. Then it also
-/// varies from nothing to twice the mean, since nodes that start together would otherwise read together, with
-/// a pause of all between.
+/// With up to [`FEW_NODES`] nodes this is the shortest interval. With more nodes the mean grows in proportion to
+/// their number, so that the platform's read rate stays constant, and so does the number of bytes per second
+/// that a node reads, although the list grows too. The interval then also varies from zero to twice the mean,
+/// because nodes that start together would otherwise all read at the same time and leave gaps in between.
 ///
 /// # Examples
 /// ```
@@ -126,7 +129,7 @@
     SHORTEST_READ_INTERVAL.mul_f64(share * 2.0 * chance)
 }
 
-/// Tells some nodes of VMs that take no new work.
+/// Announces VMs that take no new work to randomly chosen live nodes.
 fn send_vms(context: &mut Context<'_>, vms: &[Arc<str>]) {
     for part in vms.chunks(MOST_TOLD) {
         let members = context.view.members.iter();
@@ -140,7 +143,8 @@
 }
 
 impl Membership {
-    /// Takes in what another node found in the VM list, and passes on what is new.
+    /// Handles another node's report of VMs that take no new work, and passes on those that are new to this
+    /// node.
     pub fn vms_told(&mut self, context: &mut Context<'_>, vms: &[Arc<str>]) {
         let referred = self.referred_vms(context);
         let vms = vms.iter().filter(|vm| referred.contains(*vm));
@@ -152,21 +156,22 @@
         }
     }
 
-    /// Tells some nodes now of VMs that take no new work, and some in the next round.
+    /// Announces VMs that take no new work to some nodes now, and to some in the next round.
     ///
-    /// One telling by each node that learns of it leaves one node in some thousand out, which would then read of it
-    /// for itself only a minute later.
+    /// With a single announcement by each node, about one node in a thousand would not be reached, and would
+    /// find the VM in its own reading only a minute later.
     pub(super) fn tell_vms(&mut self, context: &mut Context<'_>, vms: Vec<Arc<str>>) {
         send_vms(context, &vms);
         self.vms.again.extend(vms);
     }
 
-    /// Tells some nodes of what was told in the last round.
+    /// Repeats the announcements of the last round to newly chosen nodes.
     pub(super) fn tell_vms_again(&mut self, context: &mut Context<'_>) {
         send_vms(context, &std::mem::take(&mut self.vms.again));
     }
 
-    /// Works out which upstreams take no new work, from the catalogue and the VM list.
+    /// Recomputes which upstreams take no new work, from the catalogue, the VM list and the reports of other
+    /// nodes.
     pub(super) fn update_leaving_upstreams(&mut self, context: &mut Context<'_>) {
         let leaving: BTreeSet<UpstreamId> = context
             .view
@@ -194,7 +199,7 @@
             .collect()
     }
 
-    /// Takes out the nodes whose VM has left the list and that are silent as well.
+    /// Removes the members whose VM is gone from the list and that have been silent as well.
     pub(super) fn confirm_gone_members(&mut self, context: &mut Context<'_>) {
         let gone: Vec<NodeId> = self
             .vms_of_nodes()
--- a/crates/dragonflystep_core/src/message.rs
+++ b/crates/dragonflystep_core/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between nodes.
 //!
-//! Each message is one way; an answer is a message of its own. Messages may be lost, doubled, late and
-//! out of order, and the reducer is right in spite of it. A time that crosses the network is either a
-//! length of time, or the sender's own clock that the receiver only echoes.
+//! Every message is one-way; an answer is a separate message. Messages may be lost, duplicated, delayed and
+//! reordered, and the reducer stays correct in all these cases. A time sent over the network is either a
+//! duration, or a reading of the sender's clock that the receiver only echoes.
 
 use {
     crate::{
@@ -19,455 +19,456 @@
 /// A message from one node to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Entry to broker: a request wants a slot.
+    /// Entry to broker: a request asks for a slot.
     Ask(Ask),
     /// Broker to entry: the ask waits in the queue.
     Queued(Queued),
-    /// Broker to entry: the ask has a slot.
+    /// Broker to entry: the ask got a slot.
     Granted(Granted),
     /// Broker to entry: the ask is refused.
     AskRefused(AskRefused),
-    /// Entry to broker: the ask is taken back.
+    /// Entry to broker: the ask is withdrawn.
     Withdraw(AskName),
-    /// Broker to entry: the ask is gone from the queue, and no grant for it will be made.
+    /// Broker to entry: the ask was removed from the queue, and no grant will be made for it.
     Withdrawn(AskName),
-    /// Entry to broker: the grant was not used and never will be.
+    /// Entry to broker: the grant was not used and will not be used.
     GrantReturned(GrantName),
-    /// Entry to broker: the request's bytes went out.
+    /// Entry to broker: the request was dispatched to the upstream.
     Started(GrantName),
     /// Entry to broker: the grant's stream ended.
     Finished(Finished),
-    /// Entry to broker, in rounds: all grants that the entry holds of this group.
+    /// Entry to broker, periodically: all grants of this group that the entry holds.
     Holding(Holding),
-    /// New broker to every node: tell what you hold of this group.
+    /// New broker to every node: report the grants of this group that you hold.
     Reregister(Reregister),
-    /// Broker to entry: end this stream to make room.
+    /// Broker to entry: cancel this stream to free its slot.
     CancelGrant(GrantName),
-    /// Broker to entries, in rounds: what the group can take.
+    /// Broker to entries, periodically: the free capacity and expected waits of the group.
     Summary(Summary),
-    /// Broker to brokers of the service: grant nothing below this tier.
+    /// Broker to the other brokers of the service: grant nothing below this tier.
     Yield(Yield),
     /// Answer to [`Message::Yield`].
     YieldAnswer(YieldAnswer),
     /// Entry to the home of a key: this request is about to be dispatched.
     KeyRegister(KeyRegister),
-    /// Home to entry: what is known of the key.
+    /// Home to entry: the state of the key.
     KeyAnswer(KeyAnswer),
-    /// Entry to the home of a key: the request ended, or was given up unrun.
+    /// Entry to the home of a key: the request ended, or was given up without being dispatched.
     KeyEnded(KeyEnded),
-    /// Entry to a new home: the keys that it knows of this home.
+    /// Entry to a new home: the keys of this home that the entry knows.
     KeyRefill(KeyRefill),
-    /// Node to node: an upstream broke while it ran these requests.
+    /// Node to node: an upstream crashed while it ran these requests.
     CrashObserved(CrashObserved),
-    /// Holder to voter: support my lease while the platform is out.
+    /// Holder to voter: support the lease while the platform is unavailable. Candidate to voter: agree to a
+    /// takeover.
     SupportRequest(SupportRequest),
-    /// Voter to holder or candidate.
+    /// Voter to holder or candidate: the vote. Also tells a node that a group was handed over to it.
     SupportAnswer(SupportAnswer),
-    /// Probe of a peer.
+    /// Probe of another node for failure detection and its catalogue version.
     Probe(Probe),
     /// Answer to a probe.
     ProbeAnswer(Probe),
-    /// A node says that it is leaving.
+    /// A node announces that it is leaving.
     Leaving(NodeId),
-    /// VMs of upstreams that take no new work, by the VM list that some node read.
+    /// VMs that take no new work, according to the VM list as read by some node.
     VmsLeaving(Vec<Arc<str>>),
     /// Catalogue changes, oldest first.
     CatalogueChanges(Vec<Arc<CatalogueChange>>),
-    /// Asks a peer for what follows this version.
+    /// Asks a peer for the catalogue changes after a version.
     CatalogueWanted {
-        /// Version that the asking node has.
+        /// Version that the asking node has in force.
         have_version: CatalogueVersion,
     },
-    /// A whole catalogue, for a node that is too far behind.
+    /// A complete catalogue, for a node that is too far behind for single changes.
     CatalogueSnapshot(Arc<Catalogue>),
 }
 
-/// Names an ask: the entry's request and the entry's own time stamp of the ask.
+/// Identifies an ask by the entry's request and the entry's time stamp of the ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AskName {
-    /// The group that was asked.
+    /// Group whose broker was asked.
     pub group: GroupId,
-    /// The request.
+    /// Number of the request at its entry.
     pub request: RequestId,
-    /// The entry's clock when it asked; echoed, never compared with another clock.
+    /// Time on the entry's clock when it asked; echoed, and never compared with another clock.
     pub asked_at: Duration,
 }
 
-/// Names a grant.
+/// Identifies a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantName {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The epoch in which it was granted.
+    /// Lease epoch in which the grant was made.
     pub epoch: Epoch,
-    /// The grant.
+    /// Grant that the message is about.
     pub grant: GrantId,
 }
 
-/// Everything a broker needs to queue a request and choose an upstream for it.
+/// A request for a slot, with everything that a broker needs to queue it and choose an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     /// Name of the ask.
     pub name: AskName,
-    /// Service.
+    /// Service that should answer the request.
     pub service: ServiceId,
-    /// Client account.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// Tier.
+    /// Tier of the request.
     pub tier: Tier,
-    /// Time left for the whole answer.
+    /// Time left until the deadline for the complete answer.
     pub time_left: Duration,
-    /// Whether the system may cancel it once it runs.
+    /// Whether the system may cancel the request once it runs.
     pub cancellable: bool,
     /// Hashes of the prompt's prefix at each block end.
     pub prefix_blocks: Arc<[BlockHash]>,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Longest answer.
+    /// Maximum length of the answer in tokens.
     pub output_tokens: u32,
-    /// Account and content, hashed.
+    /// Hash of account and content, by which a request that crashes upstreams is recognized.
     pub fingerprint: Fingerprint,
 }
 
-/// The ask waits.
+/// The ask waits in the broker's queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queued {
-    /// The ask.
+    /// Ask that the broker answers.
     pub ask: AskName,
-    /// The broker's epoch.
+    /// Lease epoch of the broker.
     pub epoch: Epoch,
-    /// When it is thought to start.
+    /// Predicted time until the request starts.
     pub predicted_wait: Duration,
 }
 
-/// The ask has a slot.
+/// The ask got a slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Granted {
-    /// The ask.
+    /// Ask that the broker answers.
     pub ask: AskName,
-    /// The grant.
+    /// Grant that the message is about.
     pub grant: GrantName,
-    /// Upstream to dispatch to.
+    /// Upstream to which the request is dispatched.
     pub upstream: UpstreamId,
-    /// How long the grant is good for, counted from `ask.asked_at` on the entry's own clock.
+    /// How long the grant is valid, counted from `ask.asked_at` on the entry's clock.
     ///
-    /// The broker counts the time that the ask spent in its queue into it.
+    /// The broker includes the time that the ask spent in its queue.
     pub valid_for: Duration,
-    /// How the broker's queue time was counted into `valid_for`.
+    /// Time that the ask spent in the broker's queue, which is included in `valid_for`.
     pub queued_for: Duration,
-    /// How many of the prompt's tokens the upstream is thought to hold.
+    /// Predicted number of prompt tokens in the upstream's prefix cache.
     pub cached_tokens: u32,
 }
 
-/// The ask is refused by this broker.
+/// The broker refuses the ask.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AskRefused {
-    /// The ask.
+    /// Ask that the broker answers.
     pub ask: AskName,
-    /// The broker's epoch; 0 when it holds no lease for the group.
+    /// Lease epoch of the broker; 0 when it holds no lease of the group.
     pub epoch: Epoch,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: AskRefusal,
-    /// When it is worth coming back.
+    /// Time after which a retry may succeed, if known.
     pub retry_after: Option<Duration>,
 }
 
 /// Why a broker refuses an ask.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AskRefusal {
-    /// This node does not hold the group; the holder that it knows of.
+    /// This node does not hold the group.
     NotHolder {
-        /// The holder.
+        /// Holder of the group that this node knows of, if any.
         holder: Option<NodeId>,
     },
-    /// Ask the broker of this group instead: it has room.
+    /// Another group of the service has free slots; ask its broker instead.
     Elsewhere {
-        /// The group.
+        /// Group that the message is about.
         group: GroupId,
     },
-    /// Final: tell the caller.
+    /// The refusal is final and is passed on to the caller.
     Final {
-        /// Why.
+        /// Reason for the refusal.
         code: RefusalCode,
     },
 }
 
-/// What a stream showed, for the broker's model of its upstreams.
+/// End and measurements of a stream, for the broker's model of its upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finished {
-    /// The grant.
+    /// Grant that the message is about.
     pub grant: GrantName,
-    /// How it ended.
+    /// How the stream ended.
     pub outcome: Outcome,
-    /// Time from dispatch to the first token; none when there was no token.
+    /// Time from dispatch to the first token; `None` when no token arrived.
     pub first_token_after: Option<Duration>,
     /// Time from the first token to the end.
     pub streamed_for: Duration,
-    /// Tokens that were received.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Prompt tokens that the engine says it found in its cache; none when it does not say.
+    /// Prompt tokens that the engine reports to have found in its cache; `None` when it does not say.
     pub cached_tokens: Option<u32>,
 }
 
-/// One grant that an entry holds.
+/// One grant that an entry holds, as reported to the broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldGrant {
-    /// Epoch in which it was granted; older than the present one after a takeover.
+    /// Lease epoch in which the grant was made; older than the current one after a takeover.
     pub epoch: Epoch,
-    /// The grant.
+    /// Grant that the message is about.
     pub grant: GrantId,
-    /// The upstream.
+    /// Upstream that runs or ran the requests.
     pub upstream: UpstreamId,
-    /// Tier.
+    /// Tier of the request.
     pub tier: Tier,
-    /// Whether it may be cancelled.
+    /// Whether the system may cancel the request.
     pub cancellable: bool,
-    /// Client account.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Longest answer.
+    /// Maximum length of the answer in tokens.
     pub output_tokens: u32,
-    /// Tokens received so far.
+    /// Number of tokens received so far.
     pub tokens: u32,
-    /// Time since the last token or, before the first, since dispatch.
+    /// Time since the last token, or since dispatch before the first token.
     pub silent_for: Duration,
 }
 
-/// All grants that one entry holds of one group.
+/// All grants of one group that one entry holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holding {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The newest epoch that the entry has seen for it.
+    /// Newest lease epoch of the group that the entry has seen.
     pub epoch: Epoch,
-    /// The grants; complete, so that what is missing has ended.
+    /// All grants that the entry holds; a grant that it has seen and that is missing here has ended.
     pub grants: Vec<HeldGrant>,
-    /// Grants up to this number of this epoch were seen by the entry when it made the list.
+    /// Highest grant number of this epoch that the entry had received when it made the list.
     pub seen_grant: GrantId,
 }
 
-/// A new broker asks what runs.
+/// A new broker announces itself and asks every node for the grants it holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reregister {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The new epoch; grants of an older one that are not running are dead from now on.
+    /// New lease epoch. Grants of older epochs that are not yet running become invalid.
     pub epoch: Epoch,
 }
 
-/// What a group can take.
+/// Free capacity and expected waits of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The epoch.
+    /// Lease epoch of the group that the message is about.
     pub epoch: Epoch,
-    /// The service.
+    /// Service that the message is about.
     pub service: ServiceId,
-    /// Slots that could be granted now.
+    /// Number of slots that could be granted now.
     pub free_slots: u32,
-    /// When a new ask of each tier is thought to start; index is the tier.
+    /// Predicted wait of a new ask of each tier, indexed by tier.
     pub predicted_wait: Vec<Duration>,
-    /// Mean time to compute a thousand prompt tokens on the group's upstreams.
+    /// Mean prefill time per thousand prompt tokens on the group's upstreams.
     pub prefill_per_thousand: Duration,
 }
 
-/// A broker lacks room for a tier.
+/// A broker has no capacity for a tier and asks the other brokers of the service not to start lower tiers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Yield {
-    /// The service.
+    /// Service that the message is about.
     pub service: ServiceId,
-    /// Nothing below this tier (nothing with a higher rank number) may start.
+    /// Lowest tier that may still start: nothing with a higher rank number may.
     pub tier: Tier,
-    /// For this long after receipt.
+    /// How long the restriction lasts, counted from receipt.
     pub lasts: Duration,
-    /// Number of the round, echoed.
+    /// Number of the round; echoed in the answer.
     pub round: u64,
 }
 
-/// Answer to a yield.
+/// Answer to a [`Yield`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct YieldAnswer {
-    /// The service.
+    /// Service that the message is about.
     pub service: ServiceId,
-    /// The tier.
+    /// Tier of the yield.
     pub tier: Tier,
-    /// The round.
+    /// Number of the round, from the yield.
     pub round: u64,
-    /// What each group of the service that the answering node holds says.
+    /// Answers of all groups of the service that the answering node holds.
     pub groups: Vec<GroupYield>,
 }
 
-/// What one group says to a yield.
+/// Answer of one group to a yield.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupYield {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The epoch.
+    /// Lease epoch of the group that the message is about.
     pub epoch: Epoch,
-    /// Whether it serves lower work, or has room.
+    /// Whether the group has free slots for the tier, or still runs lower tiers.
     pub answer: YieldState,
 }
 
-/// State of a group that was asked to yield.
+/// State of a group with respect to a yield.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum YieldState {
-    /// Nothing below the tier is served, and none starts in the time asked for.
+    /// Nothing below the tier is running, and nothing below it will start while the yield lasts.
     Clear,
-    /// There is room for the tier.
+    /// The group has free slots for the tier.
     Room,
-    /// Lower work still runs.
+    /// Requests below the tier are still running, or the group can't grant at present.
     Busy,
 }
 
 /// An entry asks the home of a key whether the request may be dispatched.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRegister {
-    /// The group whose broker is the home.
+    /// Group whose broker is the home of the key.
     pub home: GroupId,
-    /// The key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// The entry's request.
+    /// Number of the request at its entry.
     pub request: RequestId,
     /// The entry's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What a home knows of a key.
+/// Answer of a home about a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyAnswer {
-    /// The home.
+    /// Group whose broker is the home of the key.
     pub home: GroupId,
-    /// The home's epoch; 0 when the node does not hold the group.
+    /// Lease epoch of the home; 0 when the node does not hold the group.
     pub epoch: Epoch,
-    /// The key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// The asking request.
+    /// Request of the entry that asked.
     pub request: RequestId,
-    /// What is known.
+    /// State of the key at this home.
     pub state: KeyState,
 }
 
 /// State of a key at its home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyState {
-    /// The asking request now owns the key.
+    /// The request that asked now owns the key.
     Owned,
-    /// Another request owns it and has not ended.
+    /// Another request owns the key and has not ended.
     Running {
-        /// The entry that has it.
+        /// Entry whose request owns the key.
         entry: NodeId,
     },
-    /// It was dispatched and ended.
+    /// A request with this key was dispatched and has ended.
     Ended {
-        /// How.
+        /// How that request ended.
         outcome: Outcome,
     },
-    /// This node is not the home, or too new to know.
+    /// This node is not the home, or became the home too recently to know all keys.
     NotReady,
 }
 
 /// A request with a key ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyEnded {
-    /// The home.
+    /// Group whose broker is the home of the key.
     pub home: GroupId,
-    /// The key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// The request.
+    /// Number of the request at its entry.
     pub request: RequestId,
-    /// How it ended; none when it was never dispatched, so that the key may come again.
+    /// How the request ended; `None` when it was never dispatched, so that the key may be used again.
     pub outcome: Option<Outcome>,
 }
 
-/// What an entry knows of the keys of a home.
+/// The keys of a home that an entry knows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRefill {
-    /// The home.
+    /// Group whose broker is the home of the key.
     pub home: GroupId,
-    /// The epoch that asked for it.
+    /// Lease epoch of the home that the keys are sent to.
     pub epoch: Epoch,
-    /// Keys with their state.
+    /// Known keys with their state.
     pub keys: Vec<KnownKey>,
 }
 
-/// A key as an entry or a home knows it.
+/// State of a key as known to an entry or a home.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownKey {
-    /// The key.
+    /// Idempotency key of the request.
     pub key: RequestKey,
-    /// The entry that owns it.
+    /// Entry whose request owns the key.
     pub entry: NodeId,
-    /// The entry's request.
+    /// Number of the request at its entry.
     pub request: RequestId,
-    /// How it ended; none while it runs.
+    /// How the request ended; `None` while it runs.
     pub outcome: Option<Outcome>,
 }
 
-/// An upstream broke with requests on board.
+/// An upstream crashed while requests were running on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrashObserved {
-    /// The upstream.
+    /// Upstream that runs or ran the requests.
     pub upstream: UpstreamId,
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// Fingerprints of the reporting entry's requests that ran there and had not finished their prefill
-    /// or were the only ones on board.
+    /// Fingerprints of the reporting entry's requests that ran there and either had not finished their prefill
+    /// or were the only ones running.
     pub fingerprints: Vec<Fingerprint>,
-    /// How many requests were on board as far as the reporter knows; 0 in a broker's word that it quarantined
-    /// the requests.
+    /// Number of requests that were running there as far as the reporter knows; 0 when a broker announces that
+    /// it quarantined these requests.
     pub on_board: u32,
 }
 
-/// A holder asks for support, or a candidate asks whether a lease is still supported.
+/// A holder asks for support of its lease, or a candidate asks for agreement to a takeover.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SupportRequest {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The epoch that is supported, or that a candidate wants to end.
+    /// Lease epoch to support, or to end by a takeover.
     pub epoch: Epoch,
-    /// The holder that wants support, or the candidate for the next epoch.
+    /// Holder that asks for support, or candidate for the next epoch.
     pub node: NodeId,
-    /// Whether `node` is a candidate.
+    /// Whether `node` is a candidate for a takeover.
     pub takeover: bool,
-    /// How long the support lasts, counted by the voter from receipt and by the asker from sending.
+    /// How long the support lasts; the voter counts from receipt and the asking node from sending.
     pub lasts: Duration,
-    /// The asker's clock, echoed.
+    /// Time on the asking node's clock when it sent the request; echoed in the answer.
     pub sent_at: Duration,
 }
 
-/// A voter's answer.
+/// Vote of a voter on a [`SupportRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct SupportAnswer {
-    /// The group.
+    /// Group that the message is about.
     pub group: GroupId,
-    /// The epoch.
+    /// Lease epoch of the group that the message is about.
     pub epoch: Epoch,
     /// Whether the request was for a takeover.
     pub takeover: bool,
-    /// Whether the voter supports it.
+    /// Whether the voter supports the lease, or agrees to the takeover.
     pub granted: bool,
-    /// The asker's clock.
+    /// Send time from the request, on the asking node's clock.
     pub sent_at: Duration,
 }
 
-/// Content of probes and their answers.
+/// State that a node reports in a probe or in its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Probe {
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The sender's data centre.
+    /// Data centre in which the sender runs.
     pub data_centre: DataCentreId,
     /// Catalogue version in force at the sender.
     pub catalogue_version: CatalogueVersion,
-    /// How long ago the sender knew that version to be the newest, at most; none when it never did.
+    /// Time since the sender last knew that version to be the newest; `None` when it never did.
     pub catalogue_age: Option<Duration>,
     /// Whether the sender is leaving.
     pub leaving: bool,
-    /// Whether a change of the catalogue may be under way: in a probe one of the sender's own, in an answer any
-    /// that the sender knows of.
+    /// Whether a catalogue change may be in flight: in a probe, one by the sender; in an answer, any that the
+    /// sender knows of.
     pub change_in_flight: bool,
-    /// The asker's clock, echoed in the answer.
+    /// Time on the probing node's clock when it sent the probe; echoed in the answer.
     pub sent_at: Duration,
 }
--- a/crates/dragonflystep_core/src/object.rs
+++ b/crates/dragonflystep_core/src/object.rs
@@ -9,7 +9,7 @@
     Put {
         /// Name of the object.
         name: Arc<str>,
-        /// Content.
+        /// Content of the object.
         content: Arc<[u8]>,
     },
     /// Reads an object.
@@ -19,27 +19,27 @@
     },
 }
 
-/// What became of an operation.
+/// Result of an operation on the object store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObjectOutcome {
     /// The object was written.
     Stored,
-    /// The object, whole as far as the transport can tell.
+    /// Content of the object; complete as far as the transport can tell.
     Found(Arc<[u8]>),
     /// There is no object of this name.
     Absent,
-    /// The operation certainly did not take effect.
+    /// The operation failed and certainly did not take effect.
     Unavailable,
     /// The answer was lost: the operation may or may not have taken effect.
     Unknown,
 }
 
-/// Who made a call, so that its answer finds its way back.
+/// Identifies the purpose of a call, so that its answer reaches the part that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ObjectCall {
-    /// A read of a snapshot that is to be put in force.
+    /// A read of a catalogue snapshot that is to be put in force.
     SnapshotLoad,
-    /// The write of a snapshot.
+    /// The write of a catalogue snapshot.
     SnapshotStore,
     /// The read that checks a written snapshot before it is named in the table.
     SnapshotCheck,
--- a/crates/dragonflystep_core/src/request.rs
+++ b/crates/dragonflystep_core/src/request.rs
@@ -1,4 +1,4 @@
-//! What is known of a request, and the truths that are told about it.
+//! What the reducer knows of a request, and what a caller is told about its outcome.
 
 use {
     crate::ids::{AccountId, BlockHash, Fingerprint, ServiceId, Tier},
@@ -6,59 +6,59 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Identity that a caller gave to a request, so that a repeat is known as one.
+/// Idempotency key that a caller gave to a request, so that a repeated request is recognized.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The client account that sent the request.
     pub account: AccountId,
-    /// The caller's own text, from the `Idempotency-Key` header.
+    /// Text chosen by the caller, from the `Idempotency-Key` header.
     pub text: Arc<str>,
 }
 
-/// Everything that the decisions need to know of a request; the body stays with the driver.
+/// All facts about a request that scheduling decisions depend on. The body stays with the driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestFacts {
-    /// The service that is asked.
+    /// Service that should answer the request.
     pub service: ServiceId,
-    /// The client account that asks.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// The tier that the request belongs to.
+    /// Tier of the request.
     pub tier: Tier,
-    /// The caller's key; without one each call is a request of its own.
+    /// Idempotency key from the caller; without one, every call is a separate request.
     pub key: Option<RequestKey>,
-    /// Time left until the answer is of no more use.
+    /// Time left until the deadline, after which the answer is of no use.
     pub deadline: Duration,
-    /// Whether the request may be cancelled and sent again by its caller without harm.
+    /// Whether the caller can safely send the request again after it was cancelled.
     pub idempotent: bool,
     /// Hashes of the prompt's prefix at each block end, shortest prefix first; empty for a plain service.
     pub prefix_blocks: Arc<[BlockHash]>,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Longest answer that was asked for.
+    /// Maximum length of the answer in tokens, as requested.
     pub output_tokens: u32,
-    /// Account and content, hashed, to know a request that crashes upstreams.
+    /// Hash of account and content, by which a request that crashes upstreams is recognized.
     pub fingerprint: Fingerprint,
 }
 
-/// Whether a request ran, as it is told to its caller.
+/// Whether a request ran, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It certainly did not run and will not run.
+    /// The request certainly did not run and will not run.
     No,
-    /// It ran, or is running.
+    /// The request ran, or is running.
     Yes,
-    /// It may have run; nobody can tell.
+    /// The request may have run; this can't be determined.
     Unknown,
 }
 
-/// Why a request has no whole answer.
+/// Why a request did not get a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// The service has no room for this tier.
+    /// The service has no capacity for this tier.
     Overloaded,
-    /// The answer can't be ready before the deadline.
+    /// The answer can't be complete before the deadline.
     DeadlineUnreachable,
     /// The deadline passed.
     DeadlinePassed,
@@ -68,7 +68,7 @@
     NoUpstream,
     /// The node is stopping; another entry serves the request.
     Stopping,
-    /// The durable claim that a non-idempotent request needs can't be written now.
+    /// The durable claim that a non-idempotent request needs can't be written at present.
     StoreUnavailable,
     /// A request with the same key is running.
     InProgress,
@@ -76,33 +76,33 @@
     AlreadyRan,
     /// The request was cancelled to make room for a higher tier.
     Preempted,
-    /// The upstream broke off its answer.
+    /// The upstream's answer broke off.
     UpstreamFailed,
     /// The upstream answered with an error.
     UpstreamRefused,
     /// The upstream made no progress for too long.
     UpstreamStalled,
-    /// The request crashed upstreams and is not run again.
+    /// The request is suspected to have crashed upstreams and is not run again.
     Quarantined,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
-    /// This node has lost touch with the rest of the system.
+    /// This node has lost contact with the rest of the system.
     Isolated,
 }
 
-/// The final word on a request that has no whole answer.
+/// Final result of a request that did not get a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub code: RefusalCode,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When it is worth coming back, where that is known.
+    /// Time after which a retry may succeed, if known.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that certainly did not run.
+    /// Creates a refusal of a request that certainly did not run.
     ///
     /// # Examples
     /// ```
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A refusal of a request whose fate is `ran`.
+    /// Creates a refusal of a request, with `ran` telling whether it ran.
     pub fn with_ran(code: RefusalCode, ran: Ran) -> Self {
         Self {
             code,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The same refusal with a time to come back.
+    /// Returns the refusal with the time after which a retry may succeed.
     pub fn come_back_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
@@ -137,12 +137,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer reached the entry.
+    /// The complete answer reached the entry.
     Completed,
-    /// The upstream answered with an error of its own and a whole answer.
+    /// The upstream answered with an error, and its answer is complete.
     Rejected,
-    /// The answer broke off for good.
+    /// The answer broke off and could not be resumed.
     Failed,
-    /// The system or the caller cancelled it.
+    /// The system or the caller cancelled the request.
     Cancelled,
 }
--- a/crates/dragonflystep_core/src/state.rs
+++ b/crates/dragonflystep_core/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one node and the reducer over all events.
+//! State of one node, and the reducer that passes each event to the parts of the node that handle it.
 
 use {
     crate::{
@@ -27,64 +27,66 @@
     },
 };
 
-/// Who a node is; from its settings.
+/// Identity and addresses of a node, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// Name.
+    /// Name of the node, unique within the system.
     pub id: NodeId,
-    /// Number drawn at start.
+    /// Number drawn at start, which tells this process from earlier ones of the same name.
     pub incarnation: Incarnation,
-    /// Data centre.
+    /// Data centre in which the node runs.
     pub data_centre: DataCentreId,
-    /// Where its peers reach it.
+    /// Address at which other nodes reach the node.
     pub mesh_address: Arc<str>,
-    /// Where callers reach it.
+    /// Address at which callers reach the node.
     pub caller_address: Arc<str>,
-    /// Name of its VM in the platform's VM list.
+    /// Name of the node's VM in the platform's VM list; `None` when the settings name none.
     pub vm: Option<Arc<str>>,
 }
 
-/// Times and sizes of the protocols.
+/// Durations and sizes that the protocols use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tuning {
     /// How long a lease lasts after the renewal was sent.
     pub lease_duration: Duration,
-    /// How often a lease is renewed.
+    /// Interval between two renewals of a lease.
     pub lease_renewal: Duration,
-    /// How long a grant is good for after it was made.
+    /// How long a grant is valid after it was made.
     pub grant_validity: Duration,
-    /// What a broker adds to the validity of a grant for the drift between two clocks.
+    /// Margin for the drift between two clocks over one `lease_duration`; used for grants and for leases.
     pub drift_margin: Duration,
-    /// How often entries report held grants and brokers report what they can take.
+    /// Interval at which entries report their held grants and brokers report their free capacity.
     pub round: Duration,
-    /// How often a peer is probed.
+    /// Interval between two probes of random members.
     pub probe_interval: Duration,
-    /// How long the catalogue counts as the newest after a confirmation.
+    /// How long after a confirmation the catalogue in force counts as the newest.
     pub catalogue_trust: Duration,
-    /// Longest time without progress on a stream.
+    /// Maximum time without progress on a stream.
     pub progress_timeout: Duration,
     /// How long a key is remembered after its request ended.
     pub key_memory: Duration,
-    /// How long a lease may be extended by peers while the platform is out.
+    /// Maximum time since the last committed renewal up to which voters may extend a lease while the platform is
+    /// unavailable.
     pub longest_extension: Duration,
-    /// Changes of the catalogue between two snapshots of it.
+    /// Number of catalogue changes between two snapshots of it.
     pub snapshot_every: u64,
-    /// Parts of the broker's policy, switched off one by one in experiments.
+    /// Parts of the broker's policy that are enabled.
     pub policy: PolicyParts,
 }
 
-/// Parts of the broker's policy; each must earn its place in an experiment.
+/// Switches for parts of the broker's policy, so that experiments can show the effect of each part by disabling
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyParts {
-    /// Cached prefixes count in the choice of an upstream.
+    /// Takes cached prompt prefixes into account when an upstream is chosen.
     pub prefix_model: bool,
-    /// Client accounts share a tier by cost.
+    /// Shares the capacity of a tier fairly among client accounts, by the cost of their requests.
     pub fairness: bool,
-    /// What can't be in time is refused at once.
+    /// Refuses requests early that can't be answered before their deadline.
     pub early_refusal: bool,
-    /// The number of running requests adapts below the catalogue's limit.
+    /// Adapts the limit of running requests, up to the limit in the catalogue.
     pub adaptive_limit: bool,
-    /// Upstreams that turned slow get less.
+    /// Sends less work to upstreams that have become slow.
     pub straggler_signs: bool,
 }
 
@@ -119,32 +121,32 @@
     }
 }
 
-/// The whole state of one node.
+/// Complete state of one node.
 #[derive(Debug)]
 pub struct State {
-    /// Shared state.
+    /// State that all parts of the reducer read.
     pub view: View,
-    /// Requests that this node received.
+    /// Requests that this node received from callers.
     pub entry: Entry,
-    /// Groups that this node grants for.
+    /// Brokers of the groups that this node holds.
     pub brokers: Brokers,
-    /// Keys that this node is a home of, or waits for.
+    /// Request keys for which this node is a home, and those for which its own requests wait.
     pub keys: Keys,
     /// Durable claims of non-idempotent requests.
     pub claims: Claims,
-    /// Leases.
+    /// Leases of the groups, and this node's votes on them.
     pub leases: Leases,
-    /// Other nodes.
+    /// Members of the system and the VM list.
     pub membership: Membership,
-    /// The catalogue's versions.
+    /// Catalogue in force, and its synchronization with the other nodes and the platform.
     pub catalogue_sync: CatalogueSync,
-    /// Planned stop.
+    /// Progress of a planned stop.
     pub stop: Stop,
     random: SmallRng,
 }
 
 impl State {
-    /// State of a node that has just started; `seed` feeds its random numbers.
+    /// Creates the state of a node that has just started; `seed` initializes its random number generator.
     ///
     /// # Examples
     /// ```
@@ -189,9 +191,10 @@
         }
     }
 
-    /// Handles one event that happened at `now` on the node's clock, and says what is to be done.
+    /// Handles one event that happened at `now` on the node's clock, and returns the effects for the driver to
+    /// carry out.
     ///
-    /// `now` is the time since any fixed moment and never goes back.
+    /// `now` is the time since an arbitrary fixed point and must never decrease.
     ///
     /// # Examples
     /// ```
@@ -401,7 +404,7 @@
     }
 }
 
-/// The parts that call the table service.
+/// The parts of the reducer that call the table service, to which its answers are passed.
 struct TableParts<'a> {
     claims: &'a mut Claims,
     leases: &'a mut Leases,
--- a/crates/dragonflystep_core/src/timer.rs
+++ b/crates/dragonflystep_core/src/timer.rs
@@ -1,4 +1,4 @@
-//! Timers that the reducer asks for; a timer that is no longer wanted is ignored when it fires.
+//! Timers that the reducer starts. A timer that is no longer needed is not cancelled but ignored when it fires.
 
 use crate::ids::{GroupId, RequestId};
 
@@ -7,11 +7,11 @@
 pub enum Timer {
     /// The deadline of a request at its entry.
     RequestDeadline(RequestId),
-    /// Time to look again at a request that waits for a broker, a key answer or a claim.
+    /// Time to check a request that waits for a broker, a key answer or a claim.
     RequestRetry(RequestId),
-    /// Time for the entry to report its held grants and look for silent brokers.
+    /// Time for the entry to report its held grants and check for silent brokers.
     EntryRound,
-    /// Time for a broker to look at one of its groups: expired grants, deadlines, summaries.
+    /// Time for a broker to check one of its groups for expired grants and deadlines, and to send a summary.
     BrokerRound(GroupId),
     /// Time to renew the node's row and leases.
     LeaseRound,
@@ -19,8 +19,8 @@
     MembershipRound,
     /// Time to read the head of the catalogue.
     CatalogueRound,
-    /// Time to write the waiting claims in one group commit.
+    /// Time to write all waiting claims in one group commit.
     ClaimRound,
-    /// Time to look whether a stopping node may exit.
+    /// Time to check whether a stopping node may exit.
     StopRound,
 }
