--- a/crates/dragonflystep_core/src/lease/groups.rs
+++ b/crates/dragonflystep_core/src/lease/groups.rs
@@ -34,7 +34,7 @@
 impl Leases {
     /// Processes rows from any table answer. `read_sent_at` is when the read that returned them was sent, if
     /// known.
-    pub(super) fn see_rows(
+    pub(super) fn observe_rows(
         &mut self,
         context: &mut Context<'_>,
         rows: &[Row],
@@ -44,15 +44,15 @@
             if let Some((node, content)) = read_node_row(row) {
                 self.watch
                     .seen(context.now, &node, row.version, content, read_sent_at);
-                let news = self.own.seen(context, row);
-                self.own_row_changed(context, news);
+                let change = self.own.seen(context, row);
+                self.own_row_changed(context, change);
             } else if let Some((group, content)) = read_group_row(row) {
-                self.see_group(context, group, row.version, content);
+                self.observe_group(context, group, row.version, content);
             }
         }
     }
 
-    fn see_group(
+    fn observe_group(
         &mut self,
         context: &mut Context<'_>,
         group: GroupId,
--- a/crates/dragonflystep_core/src/lease/handover.rs
+++ b/crates/dragonflystep_core/src/lease/handover.rs
@@ -27,13 +27,13 @@
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum difference in the number of held groups between the giving and the receiving node for a group to
 /// move.
-const UNEVENNESS: usize = 2;
+const MIN_LOAD_DIFFERENCE: usize = 2;
 /// Silence after which a voter is replaced.
 const VOTER_SILENCE: Duration = Duration::from_secs(3);
 
 impl Leases {
     /// Hands all groups over in one transaction, or releases them when no other node is live.
-    pub(super) fn hand_all_over(&mut self, context: &mut Context<'_>) {
+    pub(super) fn hand_over_all(&mut self, context: &mut Context<'_>) {
         let groups: Vec<GroupId> = self
             .own_groups(context)
             .into_iter()
@@ -57,15 +57,15 @@
         let mut loads = self.loads_of(&live);
         let mut moves = Vec::new();
         for group in groups {
-            let taker = loads
+            let target = loads
                 .iter()
                 .min_by_key(|(node, load)| (**load, u64::MAX - weight(&group, node)))
                 .map(|(node, _)| node.clone());
-            let Some(taker) = taker else {
+            let Some(target) = target else {
                 return;
             };
-            *loads.entry(taker.clone()).or_default() += 1;
-            moves.push((group, taker));
+            *loads.entry(target.clone()).or_default() += 1;
+            moves.push((group, target));
         }
         self.hand_over(context, moves);
     }
@@ -127,17 +127,17 @@
         let mut groups = Vec::new();
         let mut conditions = Vec::new();
         let mut writes = Vec::new();
-        for (group, taker) in moves {
+        for (group, target) in moves {
             let (Some(known), Some(member)) =
-                (self.rows.get(&group), context.view.members.get(&taker))
+                (self.rows.get(&group), context.view.members.get(&target))
             else {
                 continue;
             };
             let row = GroupRow {
-                holder: taker.clone(),
+                holder: target.clone(),
                 incarnation: member.incarnation,
                 epoch: known.row.epoch + 1,
-                voters: self.voters_for(context, &group, &taker),
+                voters: self.voters_for(context, &group, &target),
             };
             conditions.push(self.row_condition(&group));
             writes.push(Write {
@@ -152,7 +152,7 @@
     }
 
     /// Notifies the new holders, so that they need not wait for their next scan.
-    pub(super) fn tell_takers(&mut self, context: &mut Context<'_>, groups: &[GroupId]) {
+    pub(super) fn notify_new_holders(&mut self, context: &mut Context<'_>, groups: &[GroupId]) {
         for group in groups {
             let Some(known) = self.rows.get(group) else {
                 continue;
@@ -167,8 +167,8 @@
                 granted: true,
                 sent_at: Duration::ZERO,
             };
-            let taker = known.row.holder.clone();
-            context.send(&taker, Message::SupportAnswer(answer));
+            let target = known.row.holder.clone();
+            context.send(&target, Message::SupportAnswer(answer));
         }
     }
 
@@ -182,7 +182,7 @@
         if !self.own.is_valid(context.now) {
             return;
         }
-        if let Some(moved) = self.uneven_group(context) {
+        if let Some(moved) = self.next_balancing_move(context) {
             self.hand_over(context, vec![moved]);
         }
     }
@@ -214,21 +214,21 @@
     ///
     /// Every node computes this from the same rows, and one giving node is chosen for each receiving node, so
     /// that a node that has just joined does not receive groups from all others at once.
-    fn uneven_group(&self, context: &Context<'_>) -> Option<(GroupId, NodeId)> {
+    fn next_balancing_move(&self, context: &Context<'_>) -> Option<(GroupId, NodeId)> {
         let own = &context.view.node.id;
         let loads = self.loads_of(&live_nodes(context.view));
-        let (taker, least) = loads
+        let (target, least) = loads
             .iter()
             .min_by_key(|(node, load)| (**load, (*node).clone()))?;
         let most = loads.values().max()?;
-        if *most < least + UNEVENNESS {
+        if *most < least + MIN_LOAD_DIFFERENCE {
             return None;
         }
-        let giver = loads
+        let source = loads
             .iter()
             .filter(|(_, load)| *load == most)
-            .max_by_key(|(node, _)| weight(taker, node))?;
-        if giver.0 != own {
+            .max_by_key(|(node, _)| weight(target, node))?;
+        if source.0 != own {
             return None;
         }
         let group = context
@@ -236,8 +236,8 @@
             .held
             .keys()
             .filter(|group| !self.changing.contains_key(*group))
-            .max_by_key(|group| weight(group, taker))?;
-        Some((group.clone(), taker.clone()))
+            .max_by_key(|group| weight(group, target))?;
+        Some((group.clone(), target.clone()))
     }
 
     fn refresh_voters(&mut self, context: &mut Context<'_>, group: &GroupId) {
@@ -249,7 +249,11 @@
         };
         let own = context.view.node.id.clone();
         let voters = self.voters_for(context, group, &own);
-        let has_lost_voter = known.row.voters.iter().any(|voter| is_lost(context, voter));
+        let has_lost_voter = known
+            .row
+            .voters
+            .iter()
+            .any(|voter| needs_replacement(context, voter));
         if !has_lost_voter && voters.len() <= known.row.voters.len() {
             return;
         }
@@ -284,7 +288,7 @@
 }
 
 /// Whether a voter should be replaced: it is not a member, is leaving, or is suspected and silent.
-fn is_lost(context: &Context<'_>, voter: &NodeId) -> bool {
+fn needs_replacement(context: &Context<'_>, voter: &NodeId) -> bool {
     if *voter == context.view.node.id {
         return false;
     }
--- a/crates/dragonflystep_core/src/lease/lone.rs
+++ b/crates/dragonflystep_core/src/lease/lone_node.rs
@@ -25,7 +25,7 @@
 
 impl Leases {
     /// Updates since when this node has known of no other live node.
-    pub(super) fn note_alone(&mut self, context: &Context<'_>) {
+    pub(super) fn update_alone_since(&mut self, context: &Context<'_>) {
         let own = &context.view.node.id;
         let is_alone =
             self.has_seen_members && live_nodes(context.view).iter().all(|node| node == own);
--- a/crates/dragonflystep_core/src/lease/mod.rs
+++ b/crates/dragonflystep_core/src/lease/mod.rs
@@ -67,7 +67,7 @@
 mod extension;
 mod groups;
 mod handover;
-mod lone;
+mod lone_node;
 mod placement;
 mod renewal;
 mod rows;
@@ -92,7 +92,7 @@
     self::{
         extension::Extension,
         groups::{KnownGroup, UnsettledVoters, set_holder},
-        renewal::{OwnRow, OwnRowNews},
+        renewal::{OwnRow, OwnRowChange},
         support::Votes,
         takeover::Candidacy,
         watch::NodeWatch,
@@ -165,16 +165,16 @@
         context.start_timer(interval, Timer::LeaseRound);
         self.own.round_due(context);
         self.scan_when_due(context);
-        self.note_dead(context);
-        self.note_alone(context);
+        self.record_dead_nodes(context);
+        self.update_alone_since(context);
         self.extend(context);
         if context.view.stopping {
-            self.hand_all_over(context);
+            self.hand_over_all(context);
             return;
         }
         self.watch_holders(context);
-        for group in self.groups_in_want(context) {
-            self.look_after(context, &group);
+        for group in self.groups_to_check(context) {
+            self.check_group(context, &group);
         }
         self.balance(context);
         self.refresh_all_voters(context);
@@ -222,7 +222,7 @@
             .collect();
         self.has_seen_members = true;
         self.watch.keep_only(&found);
-        self.see_rows(context, rows, Some(read_sent_at));
+        self.observe_rows(context, rows, Some(read_sent_at));
     }
 
     /// Handles an answer of the table service.
@@ -234,14 +234,14 @@
     ) {
         match call {
             TableCall::NodeRenewal | TableCall::NodeRead => {
-                let news = self.own.answered(context, outcome);
-                self.own_row_changed(context, news);
+                let change = self.own.answered(context, outcome);
+                self.own_row_changed(context, change);
             }
             TableCall::LeaseScan => self.groups_scanned(context, outcome),
             TableCall::LeaseRead(group) => {
                 self.reading.remove(&group);
-                self.see_outcome(context, outcome, None);
-                self.look_after_unless_stopping(context, &group);
+                self.observe_outcome(context, outcome, None);
+                self.check_group_unless_stopping(context, &group);
             }
             TableCall::LeaseChange(group) => self.change_answered(context, &group, outcome),
             TableCall::SuspectRead(node) => self.node_read(context, &node, outcome),
@@ -249,7 +249,7 @@
         }
     }
 
-    fn see_outcome(
+    fn observe_outcome(
         &mut self,
         context: &mut Context<'_>,
         outcome: &TableOutcome,
@@ -258,7 +258,7 @@
         match outcome {
             TableOutcome::Rows(rows)
             | TableOutcome::Committed(rows)
-            | TableOutcome::Conflicted(rows) => self.see_rows(context, rows, read_sent_at),
+            | TableOutcome::Conflicted(rows) => self.observe_rows(context, rows, read_sent_at),
             TableOutcome::Unavailable | TableOutcome::Unknown => {}
         }
     }
@@ -269,7 +269,7 @@
             self.has_scanned = true;
             self.awaits_scan = false;
         }
-        self.see_outcome(context, outcome, None);
+        self.observe_outcome(context, outcome, None);
     }
 
     fn change_answered(
@@ -285,9 +285,9 @@
             .map(|(group, _)| group.clone())
             .collect();
         self.changing.retain(|_, named| named != name);
-        self.see_outcome(context, outcome, None);
+        self.observe_outcome(context, outcome, None);
         match outcome {
-            TableOutcome::Committed(_) => self.tell_takers(context, &groups),
+            TableOutcome::Committed(_) => self.notify_new_holders(context, &groups),
             TableOutcome::Conflicted(_) | TableOutcome::Rows(_) => {}
             TableOutcome::Unavailable => self.wait_before_change(context, &groups),
             TableOutcome::Unknown => {
@@ -298,7 +298,7 @@
             }
         }
         for group in &groups {
-            self.look_after_unless_stopping(context, group);
+            self.check_group_unless_stopping(context, group);
         }
     }
 
@@ -309,17 +309,17 @@
         }
     }
 
-    fn look_after_unless_stopping(&mut self, context: &mut Context<'_>, group: &GroupId) {
+    fn check_group_unless_stopping(&mut self, context: &mut Context<'_>, group: &GroupId) {
         if !context.view.stopping && self.groups.contains(group) {
-            self.look_after(context, group);
+            self.check_group(context, group);
         }
     }
 
-    fn own_row_changed(&mut self, context: &mut Context<'_>, news: OwnRowNews) {
-        match news {
-            OwnRowNews::Unchanged => {}
-            OwnRowNews::Lost => self.lose_all(context),
-            OwnRowNews::Renewed => {
+    fn own_row_changed(&mut self, context: &mut Context<'_>, change: OwnRowChange) {
+        match change {
+            OwnRowChange::Unchanged => {}
+            OwnRowChange::Lost => self.lose_all(context),
+            OwnRowChange::Renewed => {
                 let Some(valid_until) = self.own.valid_until() else {
                     return;
                 };
@@ -337,7 +337,7 @@
             Signal::StopBegan => {
                 self.own.renew_soon();
                 self.own.round_due(context);
-                self.hand_all_over(context);
+                self.hand_over_all(context);
             }
             Signal::MemberJoined { .. } | Signal::MemberGone { .. } => {
                 self.next_watch_list_at = Duration::ZERO;
--- a/crates/dragonflystep_core/src/lease/placement.rs
+++ b/crates/dragonflystep_core/src/lease/placement.rs
@@ -56,11 +56,11 @@
     all_groups: usize,
 ) -> usize {
     let share = all_groups.div_ceil(loads.len().max(1));
-    let place = |candidate: &NodeId, load: usize| (load < share, weight(group, candidate));
-    let own = place(node, loads.get(node).copied().unwrap_or(0));
+    let priority = |candidate: &NodeId, load: usize| (load < share, weight(group, candidate));
+    let own = priority(node, loads.get(node).copied().unwrap_or(0));
     loads
         .iter()
-        .filter(|(other, load)| *other != node && place(other, **load) > own)
+        .filter(|(other, load)| *other != node && priority(other, **load) > own)
         .count()
 }
 
@@ -85,14 +85,14 @@
         queue.sort_by_key(|node| weight(group, node));
     }
     queues.sort_by_key(|queue| queue.last().map(|node| weight(group, node)));
-    let mut voters = take_in_turn(queues);
+    let mut voters = take_round_robin(queues);
     if voters.len().is_multiple_of(2) {
         voters.push(holder.clone());
     }
     voters
 }
 
-fn take_in_turn(mut queues: Vec<Vec<NodeId>>) -> Vec<NodeId> {
+fn take_round_robin(mut queues: Vec<Vec<NodeId>>) -> Vec<NodeId> {
     let mut taken = Vec::new();
     while taken.len() < MOST_VOTERS && queues.iter().any(|queue| !queue.is_empty()) {
         for queue in &mut queues {
--- a/crates/dragonflystep_core/src/lease/renewal.rs
+++ b/crates/dragonflystep_core/src/lease/renewal.rs
@@ -24,7 +24,7 @@
 
 /// What this node knows about its own row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Known {
+enum KnownRow {
     /// Not known; the row must be read before it is written.
     #[default]
     Unread,
@@ -33,7 +33,7 @@
     /// The row was written by this incarnation, or is fenced and may be overwritten.
     Present(RowVersion),
     /// Another incarnation wrote the row and may still renew it.
-    Foreign {
+    OtherIncarnation {
         /// Version of the row.
         version: RowVersion,
         /// When this version was first seen.
@@ -45,7 +45,7 @@
 
 /// Effect that reading the own row has on the leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnRowNews {
+pub enum OwnRowChange {
     /// Nothing changed.
     Unchanged,
     /// A newer renewal is now known to be committed.
@@ -64,7 +64,7 @@
 /// State of this node's own row and its renewals.
 #[derive(Debug, Default)]
 pub struct OwnRow {
-    known: Known,
+    known: KnownRow,
     newest_version: RowVersion,
     voided_version: RowVersion,
     last_number: u64,
@@ -128,7 +128,7 @@
         if !self.is_retiring() || self.in_flight {
             return;
         }
-        let Known::Present(version) = self.known else {
+        let KnownRow::Present(version) = self.known else {
             self.retirement = Retirement::Ended;
             return;
         };
@@ -157,15 +157,15 @@
         self.next_at = context.now + jittered(context.random, interval);
         self.in_flight = true;
         match self.known {
-            Known::Unread => self.read(context),
-            Known::Absent => self.renew(context, None),
-            Known::Present(version) => self.renew(context, Some(version)),
-            Known::Foreign {
+            KnownRow::Unread => self.read(context),
+            KnownRow::Absent => self.renew(context, None),
+            KnownRow::Present(version) => self.renew(context, Some(version)),
+            KnownRow::OtherIncarnation {
                 version,
                 since,
                 wait,
             } if context.now >= since + wait => self.renew(context, Some(version)),
-            Known::Foreign { .. } => self.read(context),
+            KnownRow::OtherIncarnation { .. } => self.read(context),
         }
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Handles the answer to a renewal or to a read of the own row.
-    pub fn answered(&mut self, context: &mut Context<'_>, outcome: &TableOutcome) -> OwnRowNews {
+    pub fn answered(&mut self, context: &mut Context<'_>, outcome: &TableOutcome) -> OwnRowChange {
         self.in_flight = false;
         if self.retirement == Retirement::Sent {
             self.retirement = Retirement::Ended;
@@ -231,58 +231,58 @@
                 Some(row) => self.seen(context, row),
                 None => self.absent(),
             },
-            TableOutcome::Unavailable => OwnRowNews::Unchanged,
+            TableOutcome::Unavailable => OwnRowChange::Unchanged,
             TableOutcome::Unknown => {
                 // A renewal with an unknown outcome counts only if the row, when read, shows that it took
                 // effect.
-                if self.known != Known::Unread {
-                    self.known = Known::Unread;
+                if self.known != KnownRow::Unread {
+                    self.known = KnownRow::Unread;
                     self.next_at = context.now;
                 }
-                OwnRowNews::Unchanged
+                OwnRowChange::Unchanged
             }
         }
     }
 
-    fn absent(&mut self) -> OwnRowNews {
-        self.known = Known::Absent;
+    fn absent(&mut self) -> OwnRowChange {
+        self.known = KnownRow::Absent;
         self.void()
     }
 
     /// Processes the own row from any table answer.
-    pub fn seen(&mut self, context: &mut Context<'_>, row: &Row) -> OwnRowNews {
+    pub fn seen(&mut self, context: &mut Context<'_>, row: &Row) -> OwnRowChange {
         if row.version < self.newest_version {
-            return OwnRowNews::Unchanged;
+            return OwnRowChange::Unchanged;
         }
         let Some((node, content)) = read_node_row(row) else {
-            return OwnRowNews::Unchanged;
+            return OwnRowChange::Unchanged;
         };
         if node != context.view.node.id {
-            return OwnRowNews::Unchanged;
+            return OwnRowChange::Unchanged;
         }
         let is_new = row.version > self.newest_version;
         self.newest_version = row.version;
         if content.fenced {
-            self.known = Known::Present(row.version);
+            self.known = KnownRow::Present(row.version);
             self.next_at = context.now;
             return self.void();
         }
         if content.incarnation != context.view.node.incarnation {
-            self.seen_foreign(context, row.version, is_new, &content);
+            self.seen_other_incarnation(context, row.version, is_new, &content);
             return self.void();
         }
-        self.known = Known::Present(row.version);
+        self.known = KnownRow::Present(row.version);
         self.confirm(context.now, content.renewal)
     }
 
-    fn seen_foreign(
+    fn seen_other_incarnation(
         &mut self,
         context: &mut Context<'_>,
         version: RowVersion,
         is_new: bool,
         content: &NodeRow,
     ) {
-        if !is_new && matches!(self.known, Known::Foreign { .. }) {
+        if !is_new && matches!(self.known, KnownRow::OtherIncarnation { .. }) {
             return;
         }
         let lease_duration = content.lease_duration();
@@ -291,33 +291,33 @@
             "waiting until the lease of another incarnation has run out",
             vec![("incarnation", content.incarnation.to_string())],
         );
-        self.known = Known::Foreign {
+        self.known = KnownRow::OtherIncarnation {
             version,
             since: context.now,
             wait: lease_duration + drift_margin(&context.view.tuning, lease_duration),
         };
     }
 
-    fn confirm(&mut self, now: Duration, number: u64) -> OwnRowNews {
+    fn confirm(&mut self, now: Duration, number: u64) -> OwnRowChange {
         let Some(renewal) = self.sent.get(&number).copied() else {
-            return OwnRowNews::Unchanged;
+            return OwnRowChange::Unchanged;
         };
         if self
             .confirmed
             .is_some_and(|known| known.sent_at >= renewal.sent_at)
         {
-            return OwnRowNews::Unchanged;
+            return OwnRowChange::Unchanged;
         }
         self.confirmed = Some(renewal);
         self.joined_at.get_or_insert(now);
-        OwnRowNews::Renewed
+        OwnRowChange::Renewed
     }
 
-    fn void(&mut self) -> OwnRowNews {
+    fn void(&mut self) -> OwnRowChange {
         self.voided_version = self.newest_version;
         match self.confirmed.take() {
-            Some(_) => OwnRowNews::Lost,
-            None => OwnRowNews::Unchanged,
+            Some(_) => OwnRowChange::Lost,
+            None => OwnRowChange::Unchanged,
         }
     }
 }
--- a/crates/dragonflystep_core/src/lease/support.rs
+++ b/crates/dragonflystep_core/src/lease/support.rs
@@ -120,8 +120,9 @@
 
     fn agree(&mut self, now: Duration, tuning: &Tuning, request: &SupportRequest) -> bool {
         let lease_duration = tuning.lease_duration;
-        let forgotten = self.started_at + lease_duration + drift_margin(tuning, lease_duration);
-        if now < forgotten {
+        let promises_expired_at =
+            self.started_at + lease_duration + drift_margin(tuning, lease_duration);
+        if now < promises_expired_at {
             return false;
         }
         let is_promised = self
--- a/crates/dragonflystep_core/src/lease/takeover.rs
+++ b/crates/dragonflystep_core/src/lease/takeover.rs
@@ -25,26 +25,26 @@
 
 /// Row versions that a candidate has observed. Votes and the transaction are valid only for these versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Basis {
+pub(super) struct ObservedVersions {
     /// Version of the group's row; `None` when the row is absent.
     group: Option<RowVersion>,
     /// Condition that the transaction places on the holder's row.
-    holder: HolderBasis,
+    holder: HolderCondition,
 }
 
 /// Condition on the holder's row in a takeover transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HolderBasis {
+enum HolderCondition {
     /// No condition: there is no holder, or it can no longer renew, whatever happens to its row.
-    Free,
+    Unconditional,
     /// The row must still be at this version, or still be absent for `None`.
-    At(Option<RowVersion>),
+    AtVersion(Option<RowVersion>),
 }
 
 /// This node's attempt to take a group.
 #[derive(Clone, Debug)]
 pub(super) struct Candidacy {
-    basis: Basis,
+    observed: ObservedVersions,
     due_at: Duration,
     /// Whether this node has rank 0, so that no other node should try before it.
     is_first: bool,
@@ -60,9 +60,9 @@
     /// it
     /// does not hold them, those with a newer announced holder, and those whose holder may no longer renew.
     /// The result is nearly always empty and cheap to compute.
-    pub(super) fn groups_in_want(&self, context: &Context<'_>) -> Vec<GroupId> {
+    pub(super) fn groups_to_check(&self, context: &Context<'_>) -> Vec<GroupId> {
         let view = &context.view;
-        let may_want = |group: &GroupId| {
+        let may_need_action = |group: &GroupId| {
             let Some(known) = self.rows.get(group) else {
                 return self.has_scanned;
             };
@@ -74,7 +74,7 @@
         };
         self.groups
             .iter()
-            .filter(|group| !view.held.contains_key(*group) && may_want(group))
+            .filter(|group| !view.held.contains_key(*group) && may_need_action(group))
             .cloned()
             .collect()
     }
@@ -103,17 +103,17 @@
     }
 
     /// Checks whether this node should take or resume the lease of a group, and takes the next step if so.
-    pub(super) fn look_after(&mut self, context: &mut Context<'_>, group: &GroupId) {
-        if !self.may_change(context, group) {
+    pub(super) fn check_group(&mut self, context: &mut Context<'_>, group: &GroupId) {
+        if !self.can_change(context, group) {
             return;
         }
         let Some(known) = self.rows.get(group).cloned() else {
             if self.has_scanned {
-                let basis = Basis {
+                let observed = ObservedVersions {
                     group: None,
-                    holder: HolderBasis::Free,
+                    holder: HolderCondition::Unconditional,
                 };
-                self.try_when_due(context, group, basis, None);
+                self.attempt_when_due(context, group, observed, None);
             }
             return;
         };
@@ -124,13 +124,13 @@
         }
         let own = &context.view.node;
         if known.row.holder == own.id && known.row.incarnation == own.incarnation {
-            self.take_own(context, group, &known);
+            self.resume_or_reclaim(context, group, &known);
             return;
         }
-        self.take_when_ended(context, group, &known);
+        self.take_over_when_ended(context, group, &known);
     }
 
-    fn may_change(&self, context: &Context<'_>, group: &GroupId) -> bool {
+    fn can_change(&self, context: &Context<'_>, group: &GroupId) -> bool {
         let is_early = self
             .not_before
             .get(group)
@@ -142,7 +142,12 @@
     }
 
     /// Attempts a takeover of a group whose holder can no longer renew its lease.
-    fn take_when_ended(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
+    fn take_over_when_ended(
+        &mut self,
+        context: &mut Context<'_>,
+        group: &GroupId,
+        known: &KnownGroup,
+    ) {
         let (holder, unchanged_for) = match self.renewals(context, known) {
             Renewals::Possible => {
                 self.candidacies.remove(group);
@@ -152,22 +157,27 @@
                 self.read_node(context, &known.row.holder);
                 return;
             }
-            Renewals::Replaced { unchanged_for } => (HolderBasis::Free, unchanged_for),
+            Renewals::Replaced { unchanged_for } => (HolderCondition::Unconditional, unchanged_for),
             Renewals::Ended {
                 version,
                 unchanged_for,
-            } => (HolderBasis::At(version), unchanged_for),
+            } => (HolderCondition::AtVersion(version), unchanged_for),
         };
-        let basis = Basis {
+        let observed = ObservedVersions {
             group: Some(known.version),
             holder,
         };
-        self.try_when_due(context, group, basis, Some((known, unchanged_for)));
+        self.attempt_when_due(context, group, observed, Some((known, unchanged_for)));
     }
 
     /// Acquires a lease that the table assigns to this incarnation, or writes the next epoch if this one was
     /// given up.
-    fn take_own(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
+    fn resume_or_reclaim(
+        &mut self,
+        context: &mut Context<'_>,
+        group: &GroupId,
+        known: &KnownGroup,
+    ) {
         let is_void = known.version < self.own.voided_version();
         if !is_void && !self.has_given_up(group, known.row.epoch) {
             self.acquire(context, group, known.row.epoch);
@@ -185,19 +195,19 @@
         );
     }
 
-    fn try_when_due(
+    fn attempt_when_due(
         &mut self,
         context: &mut Context<'_>,
         group: &GroupId,
-        basis: Basis,
+        observed: ObservedVersions,
         lapsed: Option<(&KnownGroup, Duration)>,
     ) {
         let is_same = self
             .candidacies
             .get(group)
-            .is_some_and(|candidacy| candidacy.basis == basis);
+            .is_some_and(|candidacy| candidacy.observed == observed);
         if !is_same {
-            let candidacy = self.new_candidacy(context, group, basis);
+            let candidacy = self.new_candidacy(context, group, observed);
             self.candidacies.insert(group.clone(), candidacy);
         }
         let Some(candidacy) = self.candidacies.get_mut(group) else {
@@ -218,13 +228,18 @@
             return;
         };
         if self.may_take(context, group, known, unchanged_for) {
-            self.take_over(context, group, known, basis);
+            self.take_over(context, group, known, observed);
         } else {
             self.ask_voters(context, group, known);
         }
     }
 
-    fn new_candidacy(&self, context: &Context<'_>, group: &GroupId, basis: Basis) -> Candidacy {
+    fn new_candidacy(
+        &self,
+        context: &Context<'_>,
+        group: &GroupId,
+        observed: ObservedVersions,
+    ) -> Candidacy {
         let live = live_nodes(context.view);
         let holders = self.rows.values().map(|known| &known.row.holder);
         let mut loads = loads(&live, holders);
@@ -234,7 +249,7 @@
         let rank = rank(group, &context.view.node.id, &loads, self.groups.len());
         let delay = RANK_DELAY.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
         Candidacy {
-            basis,
+            observed,
             due_at: context.now + delay,
             is_first: rank == 0,
             has_read: false,
@@ -326,7 +341,7 @@
             .is_some_and(|asked_from| answer.sent_at >= asked_from);
         if answer.granted && answer.epoch == known.row.epoch && is_for_this {
             candidacy.agreed.insert(from.clone());
-            self.look_after(context, &answer.group);
+            self.check_group(context, &answer.group);
         }
     }
 
@@ -346,11 +361,11 @@
         context: &mut Context<'_>,
         group: &GroupId,
         known: &KnownGroup,
-        basis: Basis,
+        observed: ObservedVersions,
     ) {
         let mut conditions = vec![self.row_condition(group)];
         let mut writes = vec![self.takeover_write(context, group, known.row.epoch + 1)];
-        if let HolderBasis::At(version) = basis.holder {
+        if let HolderCondition::AtVersion(version) = observed.holder {
             let key = node_key(&known.row.holder);
             conditions.push(Condition {
                 key: key.clone(),
--- a/crates/dragonflystep_core/src/lease/upkeep.rs
+++ b/crates/dragonflystep_core/src/lease/upkeep.rs
@@ -29,7 +29,7 @@
 /// Silence after which a watched holder's row is read.
 const READ_SILENCE: Duration = Duration::from_millis(900);
 /// Maximum number of new groups that are read one by one; more are read by one scan.
-const MOST_SINGLE_READS: usize = 8;
+const MAX_SINGLE_READS: usize = 8;
 /// Wait before a scan for new groups, per node of the system, so that not all nodes scan at once.
 const SHORTEST_SCAN_WAIT: Duration = Duration::from_millis(15);
 /// How long the row of a dead node is kept, so that other nodes can read it.
@@ -49,7 +49,7 @@
             .groups
             .iter()
             .filter(|group| !self.rows.contains_key(*group));
-        if new_groups.count() > MOST_SINGLE_READS {
+        if new_groups.count() > MAX_SINGLE_READS {
             self.awaits_scan = true;
             let wait = jittered(
                 context.random,
@@ -86,7 +86,7 @@
     }
 
     /// Records since when each node has been confirmed dead.
-    pub(super) fn note_dead(&mut self, context: &mut Context<'_>) {
+    pub(super) fn record_dead_nodes(&mut self, context: &mut Context<'_>) {
         let confirmed = &context.view.confirmed_gone;
         self.dead_since.retain(|node, _| confirmed.contains(node));
         for node in confirmed {
@@ -162,8 +162,8 @@
             TableOutcome::Rows(rows) if rows.is_empty() => {
                 self.watch.seen_absent(context.now, node);
             }
-            TableOutcome::Rows(rows) => self.see_rows(context, rows, read_sent_at),
-            TableOutcome::Conflicted(rows) => self.see_rows(context, rows, None),
+            TableOutcome::Rows(rows) => self.observe_rows(context, rows, read_sent_at),
+            TableOutcome::Conflicted(rows) => self.observe_rows(context, rows, None),
             _ => {}
         }
     }
--- a/crates/dragonflystep_core/src/membership/mod.rs
+++ b/crates/dragonflystep_core/src/membership/mod.rs
@@ -33,7 +33,7 @@
     probes: Probes,
     vms: Vms,
     scan_in_flight: bool,
-    has_gap: bool,
+    last_scan_failed: bool,
     scan_sent_at: Duration,
     next_scan_at: Duration,
 }
@@ -50,8 +50,8 @@
         let interval = jittered(context.random, context.view.tuning.probe_interval);
         context.start_timer(interval, Timer::MembershipRound);
         self.scan_when_due(context);
-        self.probe_some(context);
-        self.tell_vms_again(context);
+        self.probe_random_members(context);
+        self.repeat_announcements(context);
     }
 
     /// Records that a message from a node arrived, which clears any suspicion of it.
@@ -85,13 +85,13 @@
         live: BTreeSet<Arc<str>>,
         leaving: BTreeSet<Arc<str>>,
     ) {
-        let mut news = self.vms.read(context.now, live, leaving);
+        let mut new_vms = self.vms.read(context.now, live, leaving);
         let referred = self.referred_vms(context);
         self.vms.keep_only(&referred);
-        news.retain(|vm| referred.contains(vm));
+        new_vms.retain(|vm| referred.contains(vm));
         self.update_leaving_upstreams(context);
         self.confirm_gone_members(context);
-        self.tell_vms(context, news);
+        self.announce_vms(context, new_vms);
     }
 
     /// Handles a signal from another part of the reducer.
@@ -108,10 +108,15 @@
             return;
         };
         self.probes.forget(node);
-        self.tell_gone(context, node, member.incarnation);
+        self.announce_removal(context, node, member.incarnation);
     }
 
-    fn tell_gone(&mut self, context: &mut Context<'_>, node: &NodeId, incarnation: Incarnation) {
+    fn announce_removal(
+        &mut self,
+        context: &mut Context<'_>,
+        node: &NodeId,
+        incarnation: Incarnation,
+    ) {
         context.log(
             LogLevel::Info,
             "member gone",
--- a/crates/dragonflystep_core/src/membership/probe.rs
+++ b/crates/dragonflystep_core/src/membership/probe.rs
@@ -13,12 +13,12 @@
 };
 
 /// Timeout of a probe, in probe intervals.
-const ANSWER_INTERVALS: u32 = 2;
+const PROBE_TIMEOUT_INTERVALS: u32 = 2;
 /// Members probed per round when more than half of the time has passed for which the catalogue version is
 /// trusted without a confirmation.
-const PROBES_WITHOUT_CONFIRMATION: usize = 3;
+const PROBES_WITH_OLD_CONFIRMATION: usize = 3;
 /// Maximum number of unanswered probes kept per member.
-const OPEN_PROBES: usize = 4;
+const MAX_OPEN_PROBES: usize = 4;
 
 /// Send times of the unanswered probes to each member.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
     fn opened(&mut self, node: &NodeId, sent_at: Duration) {
         let open = self.open.entry(node.clone()).or_default();
         open.push(sent_at);
-        if open.len() > OPEN_PROBES {
+        if open.len() > MAX_OPEN_PROBES {
             open.remove(0);
         }
     }
@@ -68,19 +68,19 @@
     ///
     /// A node whose own reads of the catalogue's head fail depends on its peers to confirm its catalogue
     /// version, so it probes more of them.
-    pub(super) fn probe_some(&mut self, context: &mut Context<'_>) {
-        let patience = context.view.tuning.probe_interval * ANSWER_INTERVALS;
-        if let Some(sent_before) = context.now.checked_sub(patience) {
+    pub(super) fn probe_random_members(&mut self, context: &mut Context<'_>) {
+        let timeout = context.view.tuning.probe_interval * PROBE_TIMEOUT_INTERVALS;
+        if let Some(sent_before) = context.now.checked_sub(timeout) {
             for node in self.probes.unanswered(sent_before) {
                 self.suspect_silent(context, &node, sent_before);
             }
         }
-        let most = match is_confirmation_old(context) {
-            true => PROBES_WITHOUT_CONFIRMATION,
+        let count = match is_confirmation_old(context) {
+            true => PROBES_WITH_OLD_CONFIRMATION,
             false => 1,
         };
         let members = context.view.members.keys().cloned();
-        let probed: Vec<NodeId> = members.choose_multiple(context.random, most);
+        let probed: Vec<NodeId> = members.choose_multiple(context.random, count);
         for node in probed {
             self.probes.opened(&node, context.now);
             let probe = own_probe(context, context.now, context.view.own_change_in_flight);
@@ -103,7 +103,7 @@
 
     /// Handles a probe and answers it.
     pub fn probed(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
-        self.note_probe(context, from, probe);
+        self.record_probe(context, from, probe);
         let view = &context.view;
         let change_in_flight = view.own_change_in_flight || view.known_change_in_flight;
         let answer = own_probe(context, probe.sent_at, change_in_flight);
@@ -117,11 +117,11 @@
         from: &NodeId,
         probe: &Probe,
     ) -> bool {
-        self.note_probe(context, from, probe);
+        self.record_probe(context, from, probe);
         self.probes.answered(from, probe.sent_at)
     }
 
-    fn note_probe(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
+    fn record_probe(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         let Some(member) = context.view.members.get_mut(from) else {
             return;
         };
--- a/crates/dragonflystep_core/src/membership/scan.rs
+++ b/crates/dragonflystep_core/src/membership/scan.rs
@@ -17,7 +17,7 @@
 };
 
 /// Number of lease durations without a renewal and without a message after which a member is removed.
-const GONE_LEASE_DURATIONS: u32 = 3;
+const LEASE_DURATIONS_UNTIL_REMOVAL: u32 = 3;
 
 /// What this node last read in another node's row.
 #[derive(Clone, Debug)]
@@ -60,10 +60,10 @@
         self.scan_in_flight = false;
         let TableOutcome::Rows(rows) = outcome else {
             context.log(LogLevel::Warn, "member list can't be read", Vec::new());
-            self.has_gap = true;
+            self.last_scan_failed = true;
             return;
         };
-        if std::mem::take(&mut self.has_gap) {
+        if std::mem::take(&mut self.last_scan_failed) {
             // No node could renew while the table was unavailable, so the time without a renewal starts again
             // for all.
             for seen in self.seen.values_mut() {
@@ -78,14 +78,20 @@
             };
             found.insert(node.clone());
             if node != context.view.node.id {
-                self.see_row(context, &node, row, content);
+                self.observe_row(context, &node, row, content);
             }
         }
         self.remove_silent(context, &found);
-        self.note_silent(context, &found);
+        self.update_silent_nodes(context, &found);
     }
 
-    fn see_row(&mut self, context: &mut Context<'_>, node: &NodeId, row: &Row, content: NodeRow) {
+    fn observe_row(
+        &mut self,
+        context: &mut Context<'_>,
+        node: &NodeId,
+        row: &Row,
+        content: NodeRow,
+    ) {
         let known = self.seen.get(node);
         if known.is_some_and(|known| known.version >= row.version) {
             return;
@@ -145,11 +151,11 @@
                 let silent_since = member.heard_at.unwrap_or(Duration::ZERO).max(seen.since);
                 let silence = context.now.saturating_sub(silent_since);
                 let is_absent = !found.contains(*node);
-                let patience = match is_absent || seen.fenced {
+                let timeout = match is_absent || seen.fenced {
                     true => seen.lease_duration,
-                    false => seen.lease_duration * GONE_LEASE_DURATIONS,
+                    false => seen.lease_duration * LEASE_DURATIONS_UNTIL_REMOVAL,
                 };
-                silence >= patience
+                silence >= timeout
             })
             .map(|(node, _)| node.clone())
             .collect();
@@ -163,7 +169,7 @@
     }
 
     /// Updates the nodes that have a row and are not members, but whose process is not known to have ended.
-    fn note_silent(&self, context: &mut Context<'_>, found: &BTreeSet<NodeId>) {
+    fn update_silent_nodes(&self, context: &mut Context<'_>, found: &BTreeSet<NodeId>) {
         let view = &context.view;
         let silent = self.seen.iter().filter(|(node, seen)| {
             let is_out = !view.members.contains_key(*node) && !view.confirmed_gone.contains(*node);
--- a/crates/dragonflystep_core/src/membership/vms.rs
+++ b/crates/dragonflystep_core/src/membership/vms.rs
@@ -24,7 +24,7 @@
 };
 
 /// How long a node must also have been silent before its absence from the VM list confirms it as gone.
-const SILENCE_OF_GONE_NODE: Duration = Duration::from_secs(1);
+const MIN_SILENCE_OF_GONE_NODE: Duration = Duration::from_secs(1);
 
 /// Minimum interval between two readings. One small read every 1.5 seconds keeps the time in which a leaving VM is
 /// noticed within a few seconds.
@@ -32,11 +32,11 @@
 /// Maximum number of nodes in a system whose nodes all read the VM list at the shortest interval.
 pub const FEW_NODES: usize = 8;
 /// Lifetime of a gossip report; after it, this node's own readings show what the reporting node had read.
-const AGREEMENT: Duration = Duration::from_secs(5);
+const REPORT_LIFETIME: Duration = Duration::from_secs(5);
 /// Number of nodes to which each node that learns of a VM passes it on in one round.
-const RECEIVERS: usize = 8;
+const GOSSIP_FANOUT: usize = 8;
 /// Maximum number of VMs in one message.
-const MOST_TOLD: usize = 64;
+const MAX_VMS_PER_MESSAGE: usize = 64;
 
 /// VMs as last read from the list, and those reported by other nodes.
 #[derive(Debug, Default)]
@@ -46,9 +46,9 @@
     ever_listed: BTreeSet<Arc<str>>,
     is_read: bool,
     /// VMs that take no new work according to other nodes, with the time of the report.
-    told: BTreeMap<Arc<str>, Duration>,
+    reported: BTreeMap<Arc<str>, Duration>,
     /// VMs that are announced a second time in the next round.
-    again: Vec<Arc<str>>,
+    to_repeat: Vec<Arc<str>>,
 }
 
 impl Vms {
@@ -64,30 +64,32 @@
             leaving: std::mem::take(&mut self.leaving),
             ever_listed: self.ever_listed.clone(),
             is_read: self.is_read,
-            told: self.told.clone(),
-            again: Vec::new(),
+            reported: self.reported.clone(),
+            to_repeat: Vec::new(),
         };
         self.ever_listed.extend(live.iter().cloned());
         self.ever_listed.extend(leaving.iter().cloned());
         self.live = live;
         self.leaving = leaving;
         self.is_read = true;
-        self.told.retain(|_, told_at| now < *told_at + AGREEMENT);
+        self.reported
+            .retain(|_, reported_at| now < *reported_at + REPORT_LIFETIME);
         if !known.is_read {
             // With nothing to compare it to, the first reading shows no changes.
             return Vec::new();
         }
         let listed = self.ever_listed.iter();
-        let news = listed.filter(|vm| self.takes_no_work(vm) && !known.takes_no_work(vm));
-        news.cloned().collect()
+        let new_vms = listed.filter(|vm| self.takes_no_work(vm) && !known.takes_no_work(vm));
+        new_vms.cloned().collect()
     }
 
     /// Records VMs reported by another node, and returns those that are new to this node.
-    fn tell(&mut self, now: Duration, vms: &[Arc<str>]) -> Vec<Arc<str>> {
-        let news = vms.iter().filter(|vm| !self.takes_no_work(vm));
-        let news: Vec<Arc<str>> = news.cloned().collect();
-        self.told.extend(news.iter().map(|vm| (vm.clone(), now)));
-        news
+    fn add_reports(&mut self, now: Duration, vms: &[Arc<str>]) -> Vec<Arc<str>> {
+        let new_vms = vms.iter().filter(|vm| !self.takes_no_work(vm));
+        let new_vms: Vec<Arc<str>> = new_vms.cloned().collect();
+        self.reported
+            .extend(new_vms.iter().map(|vm| (vm.clone(), now)));
+        new_vms
     }
 
     /// Forgets VMs that are no longer listed and that nothing refers to any more.
@@ -102,7 +104,7 @@
     }
 
     fn takes_no_work(&self, vm: &str) -> bool {
-        self.leaving.contains(vm) || self.is_gone(vm) || self.told.contains_key(vm)
+        self.leaving.contains(vm) || self.is_gone(vm) || self.reported.contains_key(vm)
     }
 }
 
@@ -130,12 +132,12 @@
 }
 
 /// Announces VMs that take no new work to randomly chosen live nodes.
-fn send_vms(context: &mut Context<'_>, vms: &[Arc<str>]) {
-    for part in vms.chunks(MOST_TOLD) {
+fn send_vm_reports(context: &mut Context<'_>, vms: &[Arc<str>]) {
+    for part in vms.chunks(MAX_VMS_PER_MESSAGE) {
         let members = context.view.members.iter();
         let live = members.filter(|(_, member)| !member.suspected);
         let receivers = live.map(|(node, _)| node.clone());
-        let receivers: Vec<NodeId> = receivers.choose_multiple(context.random, RECEIVERS);
+        let receivers: Vec<NodeId> = receivers.choose_multiple(context.random, GOSSIP_FANOUT);
         for node in receivers {
             context.send(&node, Message::VmsLeaving(part.to_vec()));
         }
@@ -145,14 +147,14 @@
 impl Membership {
     /// Handles another node's report of VMs that take no new work, and passes on those that are new to this
     /// node.
-    pub fn vms_told(&mut self, context: &mut Context<'_>, vms: &[Arc<str>]) {
+    pub fn vms_reported(&mut self, context: &mut Context<'_>, vms: &[Arc<str>]) {
         let referred = self.referred_vms(context);
         let vms = vms.iter().filter(|vm| referred.contains(*vm));
         let vms: Vec<Arc<str>> = vms.cloned().collect();
-        let news = self.vms.tell(context.now, &vms);
-        if !news.is_empty() {
+        let new_vms = self.vms.add_reports(context.now, &vms);
+        if !new_vms.is_empty() {
             self.update_leaving_upstreams(context);
-            self.tell_vms(context, news);
+            self.announce_vms(context, new_vms);
         }
     }
 
@@ -160,14 +162,14 @@
     ///
     /// With a single announcement by each node, about one node in a thousand would not be reached, and would
     /// find the VM in its own reading only a minute later.
-    pub(super) fn tell_vms(&mut self, context: &mut Context<'_>, vms: Vec<Arc<str>>) {
-        send_vms(context, &vms);
-        self.vms.again.extend(vms);
+    pub(super) fn announce_vms(&mut self, context: &mut Context<'_>, vms: Vec<Arc<str>>) {
+        send_vm_reports(context, &vms);
+        self.vms.to_repeat.extend(vms);
     }
 
     /// Repeats the announcements of the last round to newly chosen nodes.
-    pub(super) fn tell_vms_again(&mut self, context: &mut Context<'_>) {
-        send_vms(context, &std::mem::take(&mut self.vms.again));
+    pub(super) fn repeat_announcements(&mut self, context: &mut Context<'_>) {
+        send_vm_reports(context, &std::mem::take(&mut self.vms.to_repeat));
     }
 
     /// Recomputes which upstreams take no new work, from the catalogue, the VM list and the reports of other
@@ -210,7 +212,7 @@
                 let member = context.view.members.get(node);
                 let heard_at = member.and_then(|member| member.heard_at);
                 heard_at.is_none_or(|heard_at| {
-                    context.now.saturating_sub(heard_at) >= SILENCE_OF_GONE_NODE
+                    context.now.saturating_sub(heard_at) >= MIN_SILENCE_OF_GONE_NODE
                 })
             })
             .collect();
--- a/crates/dragonflystep_core/src/message.rs
+++ b/crates/dragonflystep_core/src/message.rs
@@ -97,11 +97,11 @@
 /// Identifies a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantName {
-    /// Group that the message is about.
+    /// Group for which the grant was made.
     pub group: GroupId,
     /// Lease epoch in which the grant was made.
     pub epoch: Epoch,
-    /// Grant that the message is about.
+    /// Number of the grant within its group and epoch.
     pub grant: GrantId,
 }
 
@@ -146,7 +146,7 @@
 pub struct Granted {
     /// Ask that the broker answers.
     pub ask: AskName,
-    /// Grant that the message is about.
+    /// Grant that was made for the ask.
     pub grant: GrantName,
     /// Upstream to which the request is dispatched.
     pub upstream: UpstreamId,
@@ -215,7 +215,7 @@
 pub struct HeldGrant {
     /// Lease epoch in which the grant was made; older than the current one after a takeover.
     pub epoch: Epoch,
-    /// Grant that the message is about.
+    /// Number of the grant within its group and epoch.
     pub grant: GrantId,
     /// Upstream that runs or ran the requests.
     pub upstream: UpstreamId,
--- a/crates/dragonflystep_core/src/state.rs
+++ b/crates/dragonflystep_core/src/state.rs
@@ -333,7 +333,7 @@
                         catalogue_sync.own_probe_answered(context, &from, &probe);
                     }
                     Message::Leaving(node) => membership.leaving(context, &node),
-                    Message::VmsLeaving(vms) => membership.vms_told(context, &vms),
+                    Message::VmsLeaving(vms) => membership.vms_reported(context, &vms),
                     Message::CatalogueChanges(_)
                     | Message::CatalogueWanted { .. }
                     | Message::CatalogueSnapshot(_) => {
