--- a/crates/dragonflystep_core/src/lease/watch.rs
+++ b/crates/dragonflystep_core/src/lease/watch.rs
@@ -59,7 +59,7 @@
         /// How long the row has been unchanged.
         unchanged_for: Duration,
     },
-    /// The row has not been seen; a read has to confirm that it is absent.
+    /// No row is known: it was never seen or was missing from the last scan. A read has to confirm its absence.
     Missing,
 }
 
