--- a/crates/dragonflystep_core/src/lease/mod.rs
+++ b/crates/dragonflystep_core/src/lease/mod.rs
@@ -78,7 +78,7 @@
 mod watch;
 
 pub use self::{
-    placement::{MOST_VOTERS, choose_voters, weight},
+    placement::{MAX_VOTERS, choose_voters, weight},
     rows::{
         GROUP_PREFIX, GroupRow, NODE_PREFIX, NodeRow, group_key, node_key, read_group_row,
         read_node_row, to_value,
--- a/crates/dragonflystep_core/src/lease/placement.rs
+++ b/crates/dragonflystep_core/src/lease/placement.rs
@@ -14,7 +14,7 @@
 };
 
 /// Maximum number of voters of one lease.
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// Rendezvous hash weight of a node for a name; the node with the highest weight comes first.
 pub fn weight(name: &str, node: &str) -> u64 {
@@ -94,9 +94,9 @@
 
 fn take_round_robin(mut queues: Vec<Vec<NodeId>>) -> Vec<NodeId> {
     let mut taken = Vec::new();
-    while taken.len() < MOST_VOTERS && queues.iter().any(|queue| !queue.is_empty()) {
+    while taken.len() < MAX_VOTERS && queues.iter().any(|queue| !queue.is_empty()) {
         for queue in &mut queues {
-            if taken.len() < MOST_VOTERS {
+            if taken.len() < MAX_VOTERS {
                 taken.extend(queue.pop());
             }
         }
