--- a/crates/dragonflystep_core/src/lease/takeover.rs
+++ b/crates/dragonflystep_core/src/lease/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking groups over: those without a row, and those whose holder has ceased to renew.
+//! Takes over groups that have no row yet and groups whose holder no longer renews its lease.
 
 use {
     super::{
@@ -18,37 +18,37 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// How much longer each next node waits before it tries, so that they don't all try at once.
+/// Extra delay per rank before a node attempts a takeover, so that candidates do not all try at once.
 const RANK_DELAY: Duration = Duration::from_millis(150);
-/// How often a candidate asks the voters that have not agreed.
+/// Interval at which a candidate asks again those voters that have not agreed yet.
 const ASK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a candidate has seen; every vote and the transaction hold for exactly this.
+/// Row versions that a candidate has observed. Votes and the transaction are valid only for these versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Basis {
-    /// Version of the group's row; none when it is absent.
+pub(super) struct ObservedVersions {
+    /// Version of the group's row; `None` when the row is absent.
     group: Option<RowVersion>,
-    /// What is known of the holder's row.
-    holder: HolderBasis,
+    /// Condition that the transaction places on the holder's row.
+    holder: HolderCondition,
 }
 
-/// What the transaction demands of the holder's row.
+/// Condition on the holder's row in a takeover transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HolderBasis {
-    /// Nothing: there is no holder, or it can't renew any more whatever becomes of its row.
-    Free,
-    /// The row is still at this version (none: absent).
-    At(Option<RowVersion>),
+enum HolderCondition {
+    /// No condition: there is no holder, or it can no longer renew, whatever happens to its row.
+    Unconditional,
+    /// The row must still be at this version, or still be absent for `None`.
+    AtVersion(Option<RowVersion>),
 }
 
 /// This node's attempt to take a group.
 #[derive(Clone, Debug)]
 pub(super) struct Candidacy {
-    basis: Basis,
+    observed: ObservedVersions,
     due_at: Duration,
-    /// Whether no other node should try before.
+    /// Whether this node has rank 0, so that no other node should try before it.
     is_first: bool,
-    /// Whether the rows were read again when it was due; another node may have been faster.
+    /// Whether the rows were read again after `due_at`, since another node may have taken the group meanwhile.
     has_read: bool,
     asked_from: Option<Duration>,
     ask_next_at: Duration,
@@ -56,10 +56,13 @@
 }
 
 impl Leases {
-    /// Groups that may want something of this node; nearly always none, at little cost.
-    pub(super) fn groups_in_want(&self, context: &Context<'_>) -> Vec<GroupId> {
+    /// Groups for which this node may have to act: those without a row, those whose row names this node although
+    /// it
+    /// does not hold them, those with a newer announced holder, and those whose holder may no longer renew.
+    /// The result is nearly always empty and cheap to compute.
+    pub(super) fn groups_to_check(&self, context: &Context<'_>) -> Vec<GroupId> {
         let view = &context.view;
-        let may_want = |group: &GroupId| {
+        let may_need_action = |group: &GroupId| {
             let Some(known) = self.rows.get(group) else {
                 return self.has_scanned;
             };
@@ -71,20 +74,20 @@
         };
         self.groups
             .iter()
-            .filter(|group| !view.held.contains_key(*group) && may_want(group))
+            .filter(|group| !view.held.contains_key(*group) && may_need_action(group))
             .cloned()
             .collect()
     }
 
     fn renewals(&self, context: &Context<'_>, known: &KnownGroup) -> Renewals {
         if known.row.is_released() {
-            // Nobody ever held this epoch, so that there is nothing to wait for and no vote is wanted.
+            // Nobody ever held a released epoch, so a takeover needs neither a wait nor votes.
             return Renewals::Replaced {
                 unchanged_for: Duration::MAX,
             };
         }
         if known.row.holder == context.view.node.id {
-            // The own row has replaced that of the earlier incarnation.
+            // This incarnation's row has replaced the row of the earlier one.
             let joined_at = self.own.joined_at().unwrap_or(context.now);
             return Renewals::Replaced {
                 unchanged_for: context.now - joined_at,
@@ -99,18 +102,18 @@
         )
     }
 
-    /// Looks whether a group wants a holder.
-    pub(super) fn look_after(&mut self, context: &mut Context<'_>, group: &GroupId) {
-        if !self.may_change(context, group) {
+    /// Checks whether this node should take or resume the lease of a group, and takes the next step if so.
+    pub(super) fn check_group(&mut self, context: &mut Context<'_>, group: &GroupId) {
+        if !self.can_change(context, group) {
             return;
         }
         let Some(known) = self.rows.get(group).cloned() else {
             if self.has_scanned {
-                let basis = Basis {
+                let observed = ObservedVersions {
                     group: None,
-                    holder: HolderBasis::Free,
+                    holder: HolderCondition::Unconditional,
                 };
-                self.try_when_due(context, group, basis, None);
+                self.attempt_when_due(context, group, observed, None);
             }
             return;
         };
@@ -121,13 +124,13 @@
         }
         let own = &context.view.node;
         if known.row.holder == own.id && known.row.incarnation == own.incarnation {
-            self.take_own(context, group, &known);
+            self.resume_or_reclaim(context, group, &known);
             return;
         }
-        self.take_when_ended(context, group, &known);
+        self.take_over_when_ended(context, group, &known);
     }
 
-    fn may_change(&self, context: &Context<'_>, group: &GroupId) -> bool {
+    fn can_change(&self, context: &Context<'_>, group: &GroupId) -> bool {
         let is_early = self
             .not_before
             .get(group)
@@ -138,8 +141,13 @@
         can_choose && !is_held && !is_changing && !is_early
     }
 
-    /// Takes a group whose holder can't renew any more.
-    fn take_when_ended(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
+    /// Attempts a takeover of a group whose holder can no longer renew its lease.
+    fn take_over_when_ended(
+        &mut self,
+        context: &mut Context<'_>,
+        group: &GroupId,
+        known: &KnownGroup,
+    ) {
         let (holder, unchanged_for) = match self.renewals(context, known) {
             Renewals::Possible => {
                 self.candidacies.remove(group);
@@ -149,27 +157,33 @@
                 self.read_node(context, &known.row.holder);
                 return;
             }
-            Renewals::Replaced { unchanged_for } => (HolderBasis::Free, unchanged_for),
+            Renewals::Replaced { unchanged_for } => (HolderCondition::Unconditional, unchanged_for),
             Renewals::Ended {
                 version,
                 unchanged_for,
-            } => (HolderBasis::At(version), unchanged_for),
+            } => (HolderCondition::AtVersion(version), unchanged_for),
         };
-        let basis = Basis {
+        let observed = ObservedVersions {
             group: Some(known.version),
             holder,
         };
-        self.try_when_due(context, group, basis, Some((known, unchanged_for)));
+        self.attempt_when_due(context, group, observed, Some((known, unchanged_for)));
     }
 
-    /// Takes up a lease that the table gives to this incarnation.
-    fn take_own(&mut self, context: &mut Context<'_>, group: &GroupId, known: &KnownGroup) {
+    /// Acquires a lease that the table assigns to this incarnation, or writes the next epoch if this one was
+    /// given up.
+    fn resume_or_reclaim(
+        &mut self,
+        context: &mut Context<'_>,
+        group: &GroupId,
+        known: &KnownGroup,
+    ) {
         let is_void = known.version < self.own.voided_version();
         if !is_void && !self.has_given_up(group, known.row.epoch) {
             self.acquire(context, group, known.row.epoch);
             return;
         }
-        // Nobody holds the epoch that this node gave up, so that no votes are wanted for the next.
+        // Nobody holds the epoch that this node gave up, so the next epoch needs no votes.
         let epoch = known.row.epoch + 1;
         let write = self.takeover_write(context, group, epoch);
         let conditions = vec![self.row_condition(group)];
@@ -181,19 +195,19 @@
         );
     }
 
-    fn try_when_due(
+    fn attempt_when_due(
         &mut self,
         context: &mut Context<'_>,
         group: &GroupId,
-        basis: Basis,
+        observed: ObservedVersions,
         lapsed: Option<(&KnownGroup, Duration)>,
     ) {
         let is_same = self
             .candidacies
             .get(group)
-            .is_some_and(|candidacy| candidacy.basis == basis);
+            .is_some_and(|candidacy| candidacy.observed == observed);
         if !is_same {
-            let candidacy = self.new_candidacy(context, group, basis);
+            let candidacy = self.new_candidacy(context, group, observed);
             self.candidacies.insert(group.clone(), candidacy);
         }
         let Some(candidacy) = self.candidacies.get_mut(group) else {
@@ -214,13 +228,18 @@
             return;
         };
         if self.may_take(context, group, known, unchanged_for) {
-            self.take_over(context, group, known, basis);
+            self.take_over(context, group, known, observed);
         } else {
             self.ask_voters(context, group, known);
         }
     }
 
-    fn new_candidacy(&self, context: &Context<'_>, group: &GroupId, basis: Basis) -> Candidacy {
+    fn new_candidacy(
+        &self,
+        context: &Context<'_>,
+        group: &GroupId,
+        observed: ObservedVersions,
+    ) -> Candidacy {
         let live = live_nodes(context.view);
         let holders = self.rows.values().map(|known| &known.row.holder);
         let mut loads = loads(&live, holders);
@@ -230,7 +249,7 @@
         let rank = rank(group, &context.view.node.id, &loads, self.groups.len());
         let delay = RANK_DELAY.saturating_mul(u32::try_from(rank).unwrap_or(u32::MAX));
         Candidacy {
-            basis,
+            observed,
             due_at: context.now + delay,
             is_first: rank == 0,
             has_read: false,
@@ -261,7 +280,7 @@
         })
     }
 
-    /// Whether a voter's process has ended so long ago that its promises have run out.
+    /// Whether the voter's process has been known to be dead for so long that its promises have expired.
     fn is_dead_voter(&self, context: &Context<'_>, voter: &NodeId) -> bool {
         let tuning = &context.view.tuning;
         let promises_last = tuning.lease_duration + drift_margin(tuning, tuning.lease_duration);
@@ -298,7 +317,7 @@
         }
     }
 
-    /// Counts a vote for a takeover.
+    /// Counts a vote for a takeover and attempts the takeover again.
     pub(super) fn takeover_answered(
         &mut self,
         context: &mut Context<'_>,
@@ -309,20 +328,20 @@
             return;
         };
         if answer.epoch > known.row.epoch {
-            // Another node gave the group to this one, or knows of a newer holder.
+            // The group was handed over to this node, or the voter knows of a newer holder.
             self.read_group(context, &answer.group);
             return;
         }
         let Some(candidacy) = self.candidacies.get_mut(&answer.group) else {
             return;
         };
-        // A vote for an earlier attempt holds for other versions of the rows.
+        // A vote for an earlier attempt applies to other versions of the rows.
         let is_for_this = candidacy
             .asked_from
             .is_some_and(|asked_from| answer.sent_at >= asked_from);
         if answer.granted && answer.epoch == known.row.epoch && is_for_this {
             candidacy.agreed.insert(from.clone());
-            self.look_after(context, &answer.group);
+            self.check_group(context, &answer.group);
         }
     }
 
@@ -342,11 +361,11 @@
         context: &mut Context<'_>,
         group: &GroupId,
         known: &KnownGroup,
-        basis: Basis,
+        observed: ObservedVersions,
     ) {
         let mut conditions = vec![self.row_condition(group)];
         let mut writes = vec![self.takeover_write(context, group, known.row.epoch + 1)];
-        if let HolderBasis::At(version) = basis.holder {
+        if let HolderCondition::AtVersion(version) = observed.holder {
             let key = node_key(&known.row.holder);
             conditions.push(Condition {
                 key: key.clone(),
@@ -382,7 +401,7 @@
         }
     }
 
-    /// Asks one voter, which may be this node itself.
+    /// Sends a support request to a voter; if the voter is this node, answers it directly.
     pub(super) fn ask_voter(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/dragonflystep_core/src/membership/probe.rs
+++ b/crates/dragonflystep_core/src/membership/probe.rs
@@ -1,4 +1,5 @@
-//! Probes: a random peer at a time, so that a node's cost does not grow with the number of nodes.
+//! Failure detection by probes: each round probes one random member, so that the cost per node does not grow
+//! with the number of nodes.
 
 use {
     super::Membership,
@@ -11,14 +12,15 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Longest wait for the answer to a probe, in probe intervals.
-const ANSWER_INTERVALS: u32 = 2;
-/// Peers probed at a time by a node that is about to lose trust in its catalogue version.
-const PROBES_WITHOUT_CONFIRMATION: usize = 3;
-/// Most probes that are open to one peer.
-const OPEN_PROBES: usize = 4;
+/// Timeout of a probe, in probe intervals.
+const PROBE_TIMEOUT_INTERVALS: u32 = 2;
+/// Members probed per round when more than half of the time has passed for which the catalogue version is
+/// trusted without a confirmation.
+const PROBES_WITH_OLD_CONFIRMATION: usize = 3;
+/// Maximum number of unanswered probes kept per member.
+const MAX_OPEN_PROBES: usize = 4;
 
-/// Probes that were sent and not answered.
+/// Send times of the unanswered probes to each member.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
     open: BTreeMap<NodeId, Vec<Duration>>,
@@ -28,12 +30,13 @@
     fn opened(&mut self, node: &NodeId, sent_at: Duration) {
         let open = self.open.entry(node.clone()).or_default();
         open.push(sent_at);
-        if open.len() > OPEN_PROBES {
+        if open.len() > MAX_OPEN_PROBES {
             open.remove(0);
         }
     }
 
-    /// Whether this node sent the probe that was answered; an echo of a foreign clock proves nothing.
+    /// Closes the answered probe and all earlier ones to that node, and returns whether this node sent it. An
+    /// answer that echoes an unknown send time proves nothing.
     fn answered(&mut self, node: &NodeId, sent_at: Duration) -> bool {
         let Some(open) = self.open.get_mut(node) else {
             return false;
@@ -61,23 +64,23 @@
 }
 
 impl Membership {
-    /// Probes a random member, and suspects those that did not answer.
+    /// Probes random members, and suspects those that did not answer an earlier probe in time.
     ///
-    /// A node whose own reads of the catalogue's head fail lives on its peers' confirmations, and asks more of
-    /// them.
-    pub(super) fn probe_some(&mut self, context: &mut Context<'_>) {
-        let patience = context.view.tuning.probe_interval * ANSWER_INTERVALS;
-        if let Some(sent_before) = context.now.checked_sub(patience) {
+    /// A node whose own reads of the catalogue's head fail depends on its peers to confirm its catalogue
+    /// version, so it probes more of them.
+    pub(super) fn probe_random_members(&mut self, context: &mut Context<'_>) {
+        let timeout = context.view.tuning.probe_interval * PROBE_TIMEOUT_INTERVALS;
+        if let Some(sent_before) = context.now.checked_sub(timeout) {
             for node in self.probes.unanswered(sent_before) {
                 self.suspect_silent(context, &node, sent_before);
             }
         }
-        let most = match is_confirmation_old(context) {
-            true => PROBES_WITHOUT_CONFIRMATION,
+        let count = match is_confirmation_old(context) {
+            true => PROBES_WITH_OLD_CONFIRMATION,
             false => 1,
         };
         let members = context.view.members.keys().cloned();
-        let probed: Vec<NodeId> = members.choose_multiple(context.random, most);
+        let probed: Vec<NodeId> = members.choose_multiple(context.random, count);
         for node in probed {
             self.probes.opened(&node, context.now);
             let probe = own_probe(context, context.now, context.view.own_change_in_flight);
@@ -98,32 +101,33 @@
         }
     }
 
-    /// Answers a probe.
+    /// Handles a probe and answers it.
     pub fn probed(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
-        self.note_probe(context, from, probe);
+        self.record_probe(context, from, probe);
         let view = &context.view;
         let change_in_flight = view.own_change_in_flight || view.known_change_in_flight;
         let answer = own_probe(context, probe.sent_at, change_in_flight);
         context.send(from, Message::ProbeAnswer(answer));
     }
 
-    /// Handles the answer to a probe; says whether it answers a probe that this node sent.
+    /// Handles the answer to a probe, and returns whether it answers a probe that this node sent.
     pub fn probe_answered(
         &mut self,
         context: &mut Context<'_>,
         from: &NodeId,
         probe: &Probe,
     ) -> bool {
-        self.note_probe(context, from, probe);
+        self.record_probe(context, from, probe);
         self.probes.answered(from, probe.sent_at)
     }
 
-    fn note_probe(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
+    fn record_probe(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         let Some(member) = context.view.members.get_mut(from) else {
             return;
         };
         if member.incarnation != probe.incarnation {
-            // The row of the new incarnation tells its addresses; until then nothing is known of it.
+            // The addresses of the new incarnation are known only from its row, so the row is read before
+            // anything is recorded about it.
             self.next_scan_at = Duration::ZERO;
             return;
         }
--- a/crates/dragonflystep_core/src/membership/scan.rs
+++ b/crates/dragonflystep_core/src/membership/scan.rs
@@ -1,4 +1,4 @@
-//! The member list in the table service.
+//! Builds the member list from scans of the node rows in the table service.
 
 use {
     super::Membership,
@@ -16,29 +16,29 @@
     },
 };
 
-/// Lease durations without a renewal and without a sound after which a node is gone for good.
-const GONE_LEASE_DURATIONS: u32 = 3;
+/// Number of lease durations without a renewal and without a message after which a member is removed.
+const LEASE_DURATIONS_UNTIL_REMOVAL: u32 = 3;
 
-/// What was seen of a node's row.
+/// What this node last read in another node's row.
 #[derive(Clone, Debug)]
 pub(super) struct SeenNode {
     version: RowVersion,
     since: Duration,
     lease_duration: Duration,
     fenced: bool,
-    /// Whether it said itself that it serves nobody any more.
+    /// Whether the node fenced its own row when it stopped, and so serves no requests any more.
     retired: bool,
-    /// Name of its VM.
+    /// Name of the node's VM, if the row names one.
     pub(super) vm: Option<Arc<str>>,
 }
 
 impl Membership {
-    /// When the scan that is under way was sent.
+    /// When the latest scan was sent.
     pub fn scan_sent_at(&self) -> Duration {
         self.scan_sent_at
     }
 
-    /// Scans the node rows when it is time.
+    /// Scans the node rows when a scan is due.
     pub(super) fn scan_when_due(&mut self, context: &mut Context<'_>) {
         if self.scan_in_flight || context.now < self.next_scan_at {
             return;
@@ -60,11 +60,12 @@
         self.scan_in_flight = false;
         let TableOutcome::Rows(rows) = outcome else {
             context.log(LogLevel::Warn, "member list can't be read", Vec::new());
-            self.has_gap = true;
+            self.last_scan_failed = true;
             return;
         };
-        if std::mem::take(&mut self.has_gap) {
-            // Nobody could renew while the table was out, so that all have their time again.
+        if std::mem::take(&mut self.last_scan_failed) {
+            // No node could renew while the table was unavailable, so the time without a renewal starts again
+            // for all.
             for seen in self.seen.values_mut() {
                 seen.since = context.now;
             }
@@ -77,14 +78,20 @@
             };
             found.insert(node.clone());
             if node != context.view.node.id {
-                self.see_row(context, &node, row, content);
+                self.observe_row(context, &node, row, content);
             }
         }
         self.remove_silent(context, &found);
-        self.note_silent(context, &found);
+        self.update_silent_nodes(context, &found);
     }
 
-    fn see_row(&mut self, context: &mut Context<'_>, node: &NodeId, row: &Row, content: NodeRow) {
+    fn observe_row(
+        &mut self,
+        context: &mut Context<'_>,
+        node: &NodeId,
+        row: &Row,
+        content: NodeRow,
+    ) {
         let known = self.seen.get(node);
         if known.is_some_and(|known| known.version >= row.version) {
             return;
@@ -144,11 +151,11 @@
                 let silent_since = member.heard_at.unwrap_or(Duration::ZERO).max(seen.since);
                 let silence = context.now.saturating_sub(silent_since);
                 let is_absent = !found.contains(*node);
-                let patience = match is_absent || seen.fenced {
+                let timeout = match is_absent || seen.fenced {
                     true => seen.lease_duration,
-                    false => seen.lease_duration * GONE_LEASE_DURATIONS,
+                    false => seen.lease_duration * LEASE_DURATIONS_UNTIL_REMOVAL,
                 };
-                silence >= patience
+                silence >= timeout
             })
             .map(|(node, _)| node.clone())
             .collect();
@@ -161,8 +168,8 @@
         confirmed_gone.retain(|node| seen.contains_key(node));
     }
 
-    /// Notes which nodes are no members, but not known to have ended.
-    fn note_silent(&self, context: &mut Context<'_>, found: &BTreeSet<NodeId>) {
+    /// Updates the nodes that have a row and are not members, but whose process is not known to have ended.
+    fn update_silent_nodes(&self, context: &mut Context<'_>, found: &BTreeSet<NodeId>) {
         let view = &context.view;
         let silent = self.seen.iter().filter(|(node, seen)| {
             let is_out = !view.members.contains_key(*node) && !view.confirmed_gone.contains(*node);
@@ -171,7 +178,7 @@
         context.view.silent = silent.map(|(node, _)| node.clone()).collect();
     }
 
-    /// VM names of the nodes whose rows were seen.
+    /// VM name of each node whose row was read and names one.
     pub(super) fn vms_of_nodes(&self) -> BTreeMap<NodeId, Arc<str>> {
         self.seen
             .iter()
