--- a/examples/measure/accounts.rs
+++ b/examples/measure/accounts.rs
@@ -1,10 +1,11 @@
-//! Memory of a node for each thousand client accounts of the catalogue, and the time of such a change.
+//! Measures the memory of a node by the number of client accounts in the catalogue, and the time of a change that adds
+//! a thousand accounts.
 
 use {
     super::{
+        print_result,
         process::Process,
-        system::{ENGINES, System, Worker},
-        tell,
+        system::{ENGINES, System, UpstreamSpec},
     },
     argh::FromArgs,
     eyre::{Result, ensure},
@@ -13,7 +14,7 @@
     tokio::time::sleep,
 };
 
-/// Memory with many client accounts.
+/// Measures the memory of nodes with many client accounts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "accounts")]
 pub struct Accounts {
@@ -22,23 +23,24 @@
     thousands: u64,
 }
 
-/// The largest change that is accepted.
+/// Number of accounts in a change: the most edits that nodes accept in one.
 const ACCOUNTS_PER_CHANGE: u64 = 1000;
-const REPORT_EVERY: u64 = 5;
-const SETTLE: Duration = Duration::from_secs(3);
+const CHANGES_PER_REPORT: u64 = 5;
+/// Time for the nodes to apply a change before their memory is read.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 impl Accounts {
-    /// Runs the measurement.
+    /// Adds the accounts in changes of a thousand and reports after every fifth change.
     pub async fn run(self) -> Result<()> {
         let (_engine, address) = Process::stand_in(&["engine"])?;
         let system = System::start(2, None)?;
-        let worker = Worker {
+        let upstream = UpstreamSpec {
             service: ENGINES,
             address,
             running_requests: 8,
         };
-        system.declare(&[worker]).await?;
-        sleep(SETTLE).await;
+        system.apply_first_catalogue(&[upstream]).await?;
+        sleep(SETTLE_TIME).await;
         report(&system, 0, Duration::ZERO)?;
         for thousand in 0..self.thousands {
             let edits: Vec<Value> = (0..ACCOUNTS_PER_CHANGE)
@@ -49,8 +51,8 @@
             let accepted = system.change(1 + thousand, &token, &json!(edits)).await?;
             ensure!(accepted, "change {thousand} was not accepted");
             let took = started_at.elapsed();
-            if (thousand + 1) % REPORT_EVERY == 0 {
-                sleep(SETTLE).await;
+            if (thousand + 1) % CHANGES_PER_REPORT == 0 {
+                sleep(SETTLE_TIME).await;
                 report(&system, thousand + 1, took)?;
             }
         }
@@ -63,7 +65,7 @@
     for node in &system.nodes {
         resident.push(format!("{} KiB", node.process.resident_bytes()? / 1024));
     }
-    tell(&format!(
+    print_result(&format!(
         "{thousands} thousand accounts: {}; the last change was accepted in {:.3} s",
         resident.join(", "),
         took.as_secs_f64()
--- a/examples/measure/carried.rs
+++ b/examples/measure/carried.rs
@@ -1,10 +1,10 @@
-//! Requests that one node carries with one core: its processor time over the requests.
+//! Measures how many requests per second a node can serve with one core, from its processor time per request.
 
 use {
     super::{
+        print_result,
         process::Process,
-        system::{ACCOUNT_KEY, ENGINES, PLAIN, System, Worker, completion},
-        tell,
+        system::{ACCOUNT_KEY, ENGINES, PLAIN, System, UpstreamSpec, completion},
     },
     argh::FromArgs,
     eyre::{Result, ensure},
@@ -12,23 +12,23 @@
     std::time::Instant,
 };
 
-/// Requests a second that one node carries on one core.
+/// Measures the requests per second that a node can serve with one core.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "carried")]
 pub struct Carried {
     /// requests of each kind
     #[argh(option, default = "4000")]
     requests: usize,
-    /// requests at one time
+    /// concurrent requests
     #[argh(option, default = "32")]
     at_once: usize,
-    /// tokens of an engine's answer; name it again for a slope
+    /// tokens of an engine's answer; repeat the option to compare several lengths; default: 1, 33 and 129
     #[argh(option)]
     tokens: Vec<u32>,
 }
 
 impl Carried {
-    /// Runs the measurement.
+    /// Loads the node with completions of each length and then with plain requests.
     pub async fn run(self) -> Result<()> {
         let arguments = [
             "engine",
@@ -42,13 +42,13 @@
         let (_engine, engine) = Process::stand_in(&arguments)?;
         let (_plain, plain) = Process::stand_in(&["service", "--latency-ms", "1"])?;
         let system = System::start(1, None)?;
-        let worker = |service, address| Worker {
+        let upstream = |service, address| UpstreamSpec {
             service,
             address,
             running_requests: 64,
         };
         system
-            .declare(&[worker(ENGINES, engine), worker(PLAIN, plain)])
+            .apply_first_catalogue(&[upstream(ENGINES, engine), upstream(PLAIN, plain)])
             .await?;
         let node = &system.nodes[0];
         let engine_url = format!("http://{}/services/{ENGINES}/v1/completions", node.caller);
@@ -77,21 +77,21 @@
         call: impl Fn(&Client) -> RequestBuilder,
     ) -> Result<()> {
         let client = Client::builder().no_proxy().build()?;
-        let each = self.requests / self.at_once;
+        let requests_per_lane = self.requests / self.at_once;
         let cpu_before = node.cpu_time()?;
         let started_at = Instant::now();
         let mut lanes = Vec::new();
         for _ in 0..self.at_once {
-            let calls: Vec<_> = (0..each)
+            let calls: Vec<_> = (0..requests_per_lane)
                 .map(|_| call(&client).bearer_auth(ACCOUNT_KEY))
                 .collect();
             lanes.push(tokio::spawn(async move {
                 let mut done = 0_usize;
                 for call in calls {
                     let answer = call.send().await?;
-                    let is_good = answer.status().is_success();
+                    let succeeded = answer.status().is_success();
                     answer.bytes().await?;
-                    done += usize::from(is_good);
+                    done += usize::from(succeeded);
                 }
                 Ok::<_, reqwest::Error>(done)
             }));
@@ -102,8 +102,11 @@
         }
         let cpu = (node.cpu_time()? - cpu_before).as_secs_f64();
         let wall = started_at.elapsed().as_secs_f64();
-        ensure!(done == each * self.at_once, "{what}: {done} good answers");
-        tell(&format!(
+        ensure!(
+            done == requests_per_lane * self.at_once,
+            "{what}: only {done} requests succeeded"
+        );
+        print_result(&format!(
             "{what}: {done} requests, {:.0}/s over the wall, processor {:.3} ms each, {:.0}/s on one core",
             done as f64 / wall,
             cpu * 1000.0 / done as f64,
--- a/examples/measure/control.rs
+++ b/examples/measure/control.rs
@@ -1,10 +1,11 @@
-//! What control costs an idle node, by the number of nodes, idle and under changes of the catalogue.
+//! Measures what the control plane costs nodes without traffic, by the number of nodes: first without changes, then
+//! with regular changes of the catalogue.
 
 use {
     super::{
+        print_result,
         statsd::Gauges,
-        system::{ENGINES, System, Worker},
-        tell,
+        system::{ENGINES, System, UpstreamSpec},
     },
     argh::FromArgs,
     dragonflystep::{
@@ -23,17 +24,17 @@
     tokio::time::{sleep, sleep_until},
 };
 
-/// Control cost of idle nodes.
+/// Measures the cost of the control plane for nodes without traffic.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub struct Control {
-    /// nodes; name it again for a slope
+    /// number of nodes; repeat the option to compare several; default: 4, 8, 16 and 32
     #[argh(option)]
     nodes: Vec<usize>,
     /// seconds of each part of the measurement
     #[argh(option, default = "30")]
     seconds: u64,
-    /// seconds between the first catalogue and the measurement; groups are spread meanwhile
+    /// seconds between the first catalogue and the measurement, in which groups spread over the nodes
     #[argh(option, default = "15")]
     settle_seconds: u64,
     /// upstreams for each node
@@ -41,18 +42,19 @@
     upstreams_per_node: f64,
 }
 
-/// 9,200 changes a day are one in 9.4 s.
+/// Interval between changes. 9,200 changes a day are one in 9.4 s.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Sums {
+/// Counters that grow over time: processor time of each node, and the platform's records of calls.
+struct Counters {
     cpu: Vec<Duration>,
     records: Value,
 }
 
 impl Control {
-    /// Runs the measurement.
+    /// Measures systems of each size, one after the other.
     pub async fn run(self) -> Result<()> {
         let sizes = if self.nodes.is_empty() {
             vec![4, 8, 16, 32]
@@ -67,11 +69,11 @@
 
     async fn measure(&self, nodes: usize) -> Result<()> {
         let mut engines = Vec::new();
-        let mut workers = Vec::new();
+        let mut upstreams = Vec::new();
         for _ in 0..(nodes as f64 * self.upstreams_per_node).round() as usize {
             let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
             let engine = EngineFake::start(loopback, EngineFakeSettings::new(shape())).await?;
-            workers.push(Worker {
+            upstreams.push(UpstreamSpec {
                 service: ENGINES,
                 address: engine.address().to_string(),
                 running_requests: 8,
@@ -80,15 +82,16 @@
         }
         let gauges = Gauges::start()?;
         let system = System::start(nodes, Some(gauges.address))?;
-        system.declare(&workers).await?;
+        system.apply_first_catalogue(&upstreams).await?;
         sleep(Duration::from_secs(self.settle_seconds)).await;
         let length = Duration::from_secs(self.seconds);
-        self.part("idle", &system, &gauges, sleep(length)).await?;
+        self.measure_phase("idle", &system, &gauges, sleep(length))
+            .await?;
         let mut slowest = Duration::ZERO;
-        let changes = change_again_and_again(&system, &workers[0], length, &mut slowest);
-        self.part("a change every 10 s", &system, &gauges, changes)
+        let changes = change_regularly(&system, &upstreams[0], length, &mut slowest);
+        self.measure_phase("a change every 10 s", &system, &gauges, changes)
             .await?;
-        tell(&format!(
+        print_result(&format!(
             "{nodes} nodes, slowest change in force on all by their own word: {:.2} s (read one by one)",
             slowest.as_secs_f64()
         ));
@@ -98,18 +101,18 @@
         Ok(())
     }
 
-    async fn part<T>(
+    async fn measure_phase<T>(
         &self,
         what: &str,
         system: &System,
         gauges: &Gauges,
         work: impl Future<Output = T>,
     ) -> Result<()> {
-        let before = sums(system).await?;
+        let before = read_counters(system).await?;
         let from = Instant::now();
         work.await;
         let until = Instant::now();
-        let after = sums(system).await?;
+        let after = read_counters(system).await?;
         let seconds = until.duration_since(from).as_secs_f64();
         let nodes = system.nodes.len();
         let shares: Vec<f64> = before
@@ -133,7 +136,7 @@
             let count = |page: &Value| page[name].as_f64().unwrap_or_default();
             (count(&after.records) - count(&before.records)) / seconds
         };
-        tell(&format!(
+        print_result(&format!(
             "{nodes} nodes, {what}: core {} %, mesh sent {} B/s, received {} B/s, memory {} MiB; \
              platform {:.1} commits/s, {:.1} conflicts/s, {:.1} reads/s, {:.1} scans/s, {:.1} VM lists/s, \
              {:.1} rows read/s, scan of nodes {} B, of groups {} B, list of entries {} B; groups held {}",
@@ -150,7 +153,7 @@
             system.scan_bytes("node/").await?,
             system.scan_bytes("group/").await?,
             system.entries_bytes().await?,
-            spread(&held(system).await?),
+            spread(&held_groups(system).await?),
         ));
         Ok(())
     }
@@ -162,8 +165,8 @@
     format!("{mean:.2} (most {most:.2})")
 }
 
-/// Groups that each node holds, as the first node knows.
-async fn held(system: &System) -> Result<Vec<f64>> {
+/// Returns the number of groups that each node holds, as known to the first node.
+async fn held_groups(system: &System) -> Result<Vec<f64>> {
     let status = system.status(&system.nodes[0]).await?;
     let groups = status["groups"].as_array().cloned().unwrap_or_default();
     let held_by = |number: usize| {
@@ -174,17 +177,17 @@
     Ok((0..system.nodes.len()).map(held_by).collect())
 }
 
-async fn sums(system: &System) -> Result<Sums> {
+async fn read_counters(system: &System) -> Result<Counters> {
     let cpu = system.nodes.iter().map(|node| node.process.cpu_time());
-    Ok(Sums {
+    Ok(Counters {
         cpu: cpu.collect::<Result<_>>()?,
         records: system.platform_records().await?,
     })
 }
 
-async fn change_again_and_again(
+async fn change_regularly(
     system: &System,
-    worker: &Worker,
+    spec: &UpstreamSpec,
     length: Duration,
     slowest: &mut Duration,
 ) -> Result<()> {
@@ -192,7 +195,7 @@
     let mut version = 1;
     while started_at.elapsed() + CHANGE_INTERVAL <= length + POLL_INTERVAL {
         let next = Instant::now() + CHANGE_INTERVAL;
-        let edits = json!([{"put_upstream": upstream(worker, 8 + version as u32)}]);
+        let edits = json!([{"put_upstream": upstream(spec, 8 + version as u32)}]);
         let sent_at = Instant::now();
         let token = format!("change-{version}");
         ensure!(
@@ -213,18 +216,19 @@
     Ok(())
 }
 
-/// Whether the first node of a status, the asked one among them, has the version.
+/// Returns true if the node that gave this status has `version` in force. Its own entry is the first one with
+/// `silent_ms` of 0.
 fn has_version(status: &Value, version: u64) -> bool {
     let nodes = status["nodes"].as_array().cloned().unwrap_or_default();
     let own = nodes.iter().find(|node| node["silent_ms"] == 0);
     own.is_some_and(|node| node["catalogue_version"] == version)
 }
 
-/// The first worker with another limit.
-fn upstream(worker: &Worker, running_requests: u32) -> Value {
+/// Returns the catalogue entry of the first upstream, `spec`, with the limit `running_requests`.
+fn upstream(spec: &UpstreamSpec, running_requests: u32) -> Value {
     let document = json!({"tiers": [], "services": [{"id": ENGINES, "kind": "plain"}], "accounts": [],
         "upstreams": [{"id": "worker-0", "service": ENGINES, "owner": "measure", "class": ENGINES,
-            "address": worker.address, "data_centre": "a", "group": "assistant-a-1",
+            "address": spec.address, "data_centre": "a", "group": "assistant-a-1",
             "limits": {"running_requests": running_requests}}]});
     let parsed = CatalogueDocument::parse(&document.to_string()).expect("the document is complete");
     let edits = parsed
--- a/examples/measure/held.rs
+++ b/examples/measure/held.rs
@@ -1,10 +1,10 @@
-//! Memory of a node: idle, and for each thousand held streams.
+//! Measures the memory of a node without requests and with an increasing number of open streams.
 
 use {
     super::{
+        print_result,
         process::Process,
-        system::{ACCOUNT_KEY, ENGINES, System, Worker, completion},
-        tell,
+        system::{ACCOUNT_KEY, ENGINES, System, UpstreamSpec, completion},
     },
     argh::FromArgs,
     eyre::Result,
@@ -13,14 +13,14 @@
     tokio::{task::JoinSet, time::timeout},
 };
 
-/// Memory idle and with held streams.
+/// Measures the memory of a node without requests and with open streams.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "held")]
 pub struct Held {
-    /// streams of each step
+    /// streams opened in each step
     #[argh(option, default = "500")]
     step: usize,
-    /// steps
+    /// number of steps
     #[argh(option, default = "3")]
     steps: usize,
     /// bytes of a prompt
@@ -31,11 +31,11 @@
 const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(60);
 const TOKENS: u32 = 4000;
 const ENGINE_PROCESSES: usize = 4;
-/// The stand-in takes no more.
-const STREAMS_OF_AN_ENGINE: u32 = 1000;
+/// Limit of running requests per engine; the stand-in accepts no more.
+const STREAMS_PER_ENGINE: u32 = 1000;
 
 impl Held {
-    /// Runs the measurement.
+    /// Opens streams step by step and reports the resident memory after each step.
     pub async fn run(self) -> Result<()> {
         let arguments = [
             "engine",
@@ -47,21 +47,21 @@
             "100000000",
         ];
         let mut engines = Vec::new();
-        let mut workers = Vec::new();
+        let mut upstreams = Vec::new();
         for _ in 0..ENGINE_PROCESSES {
             let (engine, address) = Process::stand_in(&arguments)?;
             engines.push(engine);
-            workers.push(Worker {
+            upstreams.push(UpstreamSpec {
                 service: ENGINES,
                 address,
-                running_requests: STREAMS_OF_AN_ENGINE,
+                running_requests: STREAMS_PER_ENGINE,
             });
         }
         let system = System::start(1, None)?;
-        system.declare(&workers).await?;
+        system.apply_first_catalogue(&upstreams).await?;
         let node = &system.nodes[0];
         let client = Client::builder().no_proxy().build()?;
-        tell(&format!(
+        print_result(&format!(
             "idle: {} KiB",
             node.process.resident_bytes()? / 1024
         ));
@@ -84,7 +84,7 @@
                     streams.push(answer);
                 }
             }
-            tell(&format!(
+            print_result(&format!(
                 "{} streams held: {} KiB",
                 streams.len(),
                 node.process.resident_bytes()? / 1024
--- a/examples/measure/latency.rs
+++ b/examples/measure/latency.rs
@@ -1,10 +1,10 @@
-//! What a node adds to the time of an answer, against the same call straight to the engine stand-in.
+//! Measures the latency that a node adds, compared to the same call sent directly to the engine stand-in.
 
 use {
     super::{
+        print_result,
         process::Process,
-        system::{ACCOUNT_KEY, ENGINES, System, Worker, completion},
-        tell,
+        system::{ACCOUNT_KEY, ENGINES, System, UpstreamSpec, completion},
     },
     argh::FromArgs,
     eyre::{Result, ensure},
@@ -12,14 +12,14 @@
     std::time::{Duration, Instant},
 };
 
-/// Added latency of a node at p50 and p99, both ways by turns in one run.
+/// Measures the latency that a node adds at p50 and p99; direct calls and calls through the node alternate.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "latency")]
 pub struct Latency {
-    /// calls each way
+    /// calls of each kind, direct and through the node
     #[argh(option, default = "400")]
     calls: usize,
-    /// calls at one time
+    /// concurrent calls
     #[argh(option, default = "4")]
     at_once: usize,
     /// tokens of an answer
@@ -31,13 +31,13 @@
     /// milliseconds of a decode step
     #[argh(option, default = "10")]
     decode_step_ms: u64,
-    /// open a connection to the node for each call
+    /// open a new connection to the node for each call
     #[argh(switch)]
     fresh_connections: bool,
 }
 
-/// Idle connections that a caller keeps, of which it needs one.
-const KEPT_CONNECTIONS: usize = 4;
+/// Idle connections that a client keeps to the node. It uses one at a time.
+const IDLE_CONNECTIONS: usize = 4;
 
 #[derive(Clone, Copy)]
 struct Timing {
@@ -47,23 +47,23 @@
 
 #[derive(Default)]
 struct Timings {
-    straight: Vec<Timing>,
-    by_node: Vec<Timing>,
+    direct: Vec<Timing>,
+    through_node: Vec<Timing>,
 }
 
 impl Latency {
-    /// Runs the measurement.
+    /// Runs the calls on concurrent lanes and reports the time to the first token and to the complete answer.
     pub async fn run(self) -> Result<()> {
         let step = self.decode_step_ms.to_string();
         let arguments = ["engine", "--max-batch", "64", "--decode-step-ms", &step];
         let (_engine, address) = Process::stand_in(&arguments)?;
         let system = System::start(1, None)?;
-        let worker = Worker {
+        let upstream = UpstreamSpec {
             service: ENGINES,
             address: address.clone(),
             running_requests: 64,
         };
-        system.declare(&[worker]).await?;
+        system.apply_first_catalogue(&[upstream]).await?;
         let mut lanes = Vec::new();
         for lane in 0..self.at_once {
             let work = self.lane(lane, address.clone(), system.nodes[0].caller.clone());
@@ -72,8 +72,8 @@
         let mut all = Timings::default();
         for lane in lanes {
             let timings = lane.await??;
-            all.straight.extend(timings.straight);
-            all.by_node.extend(timings.by_node);
+            all.direct.extend(timings.direct);
+            all.through_node.extend(timings.through_node);
         }
         report("first token", &all, |timing| timing.first);
         report("whole answer", &all, |timing| timing.whole);
@@ -88,39 +88,41 @@
     ) -> impl Future<Output = Result<Timings>> + Send + 'static {
         let calls = self.calls / self.at_once;
         let body = completion(self.prompt_bytes, self.tokens);
-        let kept = if self.fresh_connections {
+        let idle_connections = if self.fresh_connections {
             0
         } else {
-            KEPT_CONNECTIONS
+            IDLE_CONNECTIONS
         };
         async move {
-            // The node opens a connection for each dispatch, so that the straight way does too.
-            let straight_client = Client::builder()
+            // The node opens a connection for each dispatch, so the direct calls do the same.
+            let direct_client = Client::builder()
                 .no_proxy()
                 .pool_max_idle_per_host(0)
                 .build()?;
             let client = Client::builder()
                 .no_proxy()
-                .pool_max_idle_per_host(kept)
+                .pool_max_idle_per_host(idle_connections)
                 .build()?;
             let mut timings = Timings::default();
             for call in 0..=calls {
-                let straight = straight_client
+                let direct = direct_client
                     .post(format!("http://{engine}/v1/completions"))
                     .header(
                         "X-Request-Id",
                         format!("straight:1:{}", lane * (calls + 1) + call),
                     )
                     .header("X-Fencing-Number", "1");
-                timings.straight.push(time(straight.json(&body)).await?);
-                let by_node = client
+                timings.direct.push(time(direct.json(&body)).await?);
+                let through_node = client
                     .post(format!("http://{node}/services/{ENGINES}/v1/completions"))
                     .bearer_auth(ACCOUNT_KEY);
-                timings.by_node.push(time(by_node.json(&body)).await?);
+                timings
+                    .through_node
+                    .push(time(through_node.json(&body)).await?);
             }
-            // The first calls find no cached prefix and no kept connection.
-            timings.straight.remove(0);
-            timings.by_node.remove(0);
+            // Drops the first calls, which find neither a cached prefix nor an open connection.
+            timings.direct.remove(0);
+            timings.through_node.remove(0);
             Ok(timings)
         }
     }
@@ -138,7 +140,7 @@
     }
     ensure!(
         status.is_success() && text.ends_with(b"[DONE]\n\n"),
-        "an answer is not whole: {status} {}",
+        "an answer is not complete: {status} {}",
         String::from_utf8_lossy(&text)
     );
     let whole = started_at.elapsed();
@@ -150,12 +152,12 @@
 
 fn report(what: &str, timings: &Timings, pick: impl Fn(&Timing) -> Duration) {
     for (name, share) in [("p50", 0.5), ("p99", 0.99)] {
-        let straight = quantile(&timings.straight, &pick, share);
-        let by_node = quantile(&timings.by_node, &pick, share);
-        tell(&format!(
-            "{what} {name}: straight {straight:.2} ms, by the node {by_node:.2} ms, ratio {:.3}, calls {}",
-            by_node / straight,
-            timings.by_node.len()
+        let direct = quantile(&timings.direct, &pick, share);
+        let through_node = quantile(&timings.through_node, &pick, share);
+        print_result(&format!(
+            "{what} {name}: straight {direct:.2} ms, by the node {through_node:.2} ms, ratio {:.3}, calls {}",
+            through_node / direct,
+            timings.through_node.len()
         ));
     }
 }
@@ -163,6 +165,6 @@
 fn quantile(timings: &[Timing], pick: impl Fn(&Timing) -> Duration, share: f64) -> f64 {
     let mut sorted: Vec<_> = timings.iter().map(pick).collect();
     sorted.sort_unstable();
-    let place = ((sorted.len() as f64 - 1.0) * share).round() as usize;
-    sorted[place].as_secs_f64() * 1000.0
+    let index = ((sorted.len() as f64 - 1.0) * share).round() as usize;
+    sorted[index].as_secs_f64() * 1000.0
 }
--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -1,4 +1,4 @@
-//! Measures nodes of the built binary on loopback: what a node adds, carries, holds and costs.
+//! Measures node processes on loopback: added latency, throughput per core, memory, and the cost of the control plane.
 //!
 //! Build the binary first: `cargo build --release`. Then, for example,
 //! `cargo run --release --example measure -- latency`. Each command ends by itself.
@@ -18,7 +18,7 @@
     std::io::{self, Write},
 };
 
-/// Measures nodes of the built binary on loopback.
+/// Measures node processes of the built binary on loopback.
 #[derive(FromArgs)]
 struct CommandLine {
     #[argh(subcommand)]
@@ -47,8 +47,8 @@
     }
 }
 
-/// Writes one line of a result.
-fn tell(line: &str) {
-    // A reader that closed its end is no fault of the measurement.
+/// Writes one line of a result to standard output.
+fn print_result(line: &str) {
+    // If the reader has closed the pipe, the measurement still runs to its end.
     let _ = writeln!(io::stdout().lock(), "{line}");
 }
--- a/examples/measure/system.rs
+++ b/examples/measure/system.rs
@@ -1,4 +1,4 @@
-//! A system of node processes before a platform stand-in.
+//! Starts a system of node processes with a stand-in for the platform.
 
 use {
     super::process::Process,
@@ -17,61 +17,62 @@
     tokio::time::sleep,
 };
 
-/// Key of the only client account.
+/// API key of the only client account.
 pub const ACCOUNT_KEY: &str = "measure-account-key";
-/// Service of the engines.
+/// Id of the service that the engines serve.
 pub const ENGINES: &str = "assistant";
-/// Service of the plain workers.
+/// Id of the service that the plain upstreams serve.
 pub const PLAIN: &str = "ledger";
-/// Model that the engines serve.
+/// Name of the model that the engines serve.
 pub const MODEL: &str = "measure-model";
 const PLATFORM_KEY: &str = "measure-platform-key";
 const EDIT_KEY: &str = "measure-edit-key-01";
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const READY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One node process.
+/// A node running as a process.
 pub struct NodeProcess {
-    /// The process.
+    /// Handle that kills the process when dropped.
     pub process: Process,
-    /// Where callers reach it.
+    /// Address on which it serves callers.
     pub caller: String,
-    /// Where operators reach it.
+    /// Address of its administration API.
     pub admin: String,
 }
 
-/// An upstream of the catalogue.
-pub struct Worker {
-    /// Its service.
+/// An upstream to put into the catalogue.
+pub struct UpstreamSpec {
+    /// Id of the service that it belongs to.
     pub service: &'static str,
-    /// Its address.
+    /// Address on which it takes requests.
     pub address: String,
-    /// Most requests at one time.
+    /// Limit of concurrently running requests.
     pub running_requests: u32,
 }
 
-/// Everything that runs.
+/// The processes of one measurement. Dropping it ends them and removes their settings.
 pub struct System {
-    /// The nodes.
+    /// The nodes, `entry-0` and up.
     pub nodes: Vec<NodeProcess>,
     /// Address of the platform stand-in.
     pub platform: String,
-    /// The platform, which runs until this is dropped.
+    /// Handle that kills the platform stand-in when dropped.
     pub _platform_process: Process,
-    /// Client of the administration API.
+    /// HTTP client for the administration APIs and the platform stand-in.
     pub client: Client,
     directory: PathBuf,
 }
 
 impl Drop for System {
     fn drop(&mut self) {
-        // Only settings lie there.
+        // The directory holds only settings; on failure it stays in the temporary directory.
         let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
 impl System {
-    /// Starts the platform stand-in and nodes; gauges go to `gauges` with prefix `n<number>`.
+    /// Starts the platform stand-in and the nodes. If `gauges` is given, each node sends its metrics there with the
+    /// prefix `n<number>`.
     pub fn start(nodes: usize, gauges: Option<SocketAddr>) -> Result<Self> {
         let (_platform_process, platform) =
             Process::stand_in(&["platform", "--key", PLATFORM_KEY])?;
@@ -119,32 +120,33 @@
         })
     }
 
-    /// Applies the first catalogue and waits until every group has a holder everywhere.
-    pub async fn declare(&self, workers: &[Worker]) -> Result<()> {
-        let document = CatalogueDocument::parse(&catalogue(workers).to_string())?;
+    /// Applies the first catalogue and waits until every node knows a holder of every group.
+    pub async fn apply_first_catalogue(&self, specs: &[UpstreamSpec]) -> Result<()> {
+        let document = CatalogueDocument::parse(&catalogue(specs).to_string())?;
         let edits = document.edits_against(&Catalogue::default())?;
         let started_at = Instant::now();
-        // A node that knows of no other one would take every group.
+        // A node that knows no other node would take every group.
         for node in &self.nodes {
             while !self.knows_all(node).await {
-                self.wait(started_at, "members").await?;
+                self.wait(started_at, "every node knows all nodes").await?;
             }
         }
         while !self
             .change(0, "first", &serde_json::to_value(edits.clone())?)
             .await?
         {
-            self.wait(started_at, "the first catalogue").await?;
+            self.wait(started_at, "the first catalogue is accepted")
+                .await?;
         }
         for node in &self.nodes {
             while !self.is_ready(node).await? {
-                self.wait(started_at, "brokers").await?;
+                self.wait(started_at, "every group has a broker").await?;
             }
         }
         Ok(())
     }
 
-    /// Makes one change of the catalogue; whether it was accepted.
+    /// Sends one change of the catalogue to the first node. Returns false if it was refused or the connection failed.
     pub async fn change(&self, based_on: u64, token: &str, edits: &Value) -> Result<bool> {
         let change = json!({"based_on": based_on, "author": "measure", "reason": "measure",
             "token": token, "edits": edits});
@@ -156,20 +158,20 @@
         Ok(answer.status().is_success())
     }
 
-    /// What a node knows of the system.
+    /// Returns the status document of a node.
     pub async fn status(&self, node: &NodeProcess) -> Result<Value> {
         let url = format!("http://{}/admin/status", node.admin);
         let call = self.client.get(url).bearer_auth(EDIT_KEY);
         Ok(call.send().await?.json().await?)
     }
 
-    /// What the platform was asked for.
+    /// Returns the platform stand-in's records of the calls that it got.
     pub async fn platform_records(&self) -> Result<Value> {
         let url = format!("http://{}/records", self.platform);
         Ok(self.client.get(url).send().await?.json().await?)
     }
 
-    /// Bytes of the answer to a scan.
+    /// Returns the size in bytes of the platform's answer to a scan of the rows with a prefix.
     pub async fn scan_bytes(&self, prefix: &str) -> Result<usize> {
         let url = format!("http://{}/table/scan", self.platform);
         let call = self.client.post(url).bearer_auth(PLATFORM_KEY);
@@ -183,7 +185,7 @@
         nodes == Some(self.nodes.len())
     }
 
-    /// Bytes of the list of entries that a caller gets.
+    /// Returns the size in bytes of the list of entries that the first node gives to callers.
     pub async fn entries_bytes(&self) -> Result<usize> {
         let url = format!("http://{}/v1/entries", self.nodes[0].caller);
         Ok(self.client.get(url).send().await?.bytes().await?.len())
@@ -201,18 +203,18 @@
 
     async fn wait(&self, started_at: Instant, what: &str) -> Result<()> {
         if started_at.elapsed() > READY_TIMEOUT {
-            bail!("{what}: not there within {READY_TIMEOUT:?}");
+            bail!("timed out after {READY_TIMEOUT:?} waiting for: {what}");
         }
         sleep(READY_INTERVAL).await;
         Ok(())
     }
 }
 
-fn catalogue(workers: &[Worker]) -> Value {
-    let upstreams = workers.iter().enumerate().map(|(number, worker)| {
-        json!({"id": format!("worker-{number}"), "service": worker.service, "owner": "measure",
-            "class": worker.service, "address": worker.address, "data_centre": "a",
-            "limits": {"running_requests": worker.running_requests}})
+fn catalogue(specs: &[UpstreamSpec]) -> Value {
+    let upstreams = specs.iter().enumerate().map(|(number, spec)| {
+        json!({"id": format!("worker-{number}"), "service": spec.service, "owner": "measure",
+            "class": spec.service, "address": spec.address, "data_centre": "a",
+            "limits": {"running_requests": spec.running_requests}})
     });
     json!({
         "tiers": [{"id": "urgent", "rank": 0, "default_deadline_ms": 300_000,
@@ -224,12 +226,12 @@
     })
 }
 
-/// The body of a completion call.
+/// Returns the body of a request for a streamed completion. The prompt repeats the letter `a`.
 pub fn completion(prompt_bytes: usize, tokens: u32) -> Value {
     json!({"model": MODEL, "prompt": "a".repeat(prompt_bytes), "max_tokens": tokens, "stream": true})
 }
 
-/// An address whose port was free a moment ago.
+/// Returns a loopback address with a free port. The port is released before the return.
 fn free_address() -> Result<String> {
     Ok(TcpListener::bind(("127.0.0.1", 0))?
         .local_addr()?
--- a/examples/soak/checker.rs
+++ b/examples/soak/checker.rs
@@ -1,4 +1,5 @@
-//! Counts broken promises from the records of the stand-ins and what callers saw; trusts no node.
+//! Finds violated guarantees of a run. Uses only the records of the stand-ins and the results that callers saw, because
+//! the logs and statuses of the nodes under test may be wrong.
 
 use {
     super::{
@@ -13,15 +14,15 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Names of the promises with what broke them.
+/// Violations found, by the name of the violated guarantee.
 pub type Violations = BTreeMap<&'static str, Vec<String>>;
 
-/// A leaving engine may receive work for this long after the first sign.
+/// Milliseconds for which a leaving engine may still get dispatches after the announcement.
 const LEAVING_WITHIN_MS: u64 = 4_000;
-/// Slack for an end that the caller saw before the fault was written down.
-const SLACK: Duration = Duration::from_millis(500);
+/// Tolerance for a request whose caller saw its end before the fault was recorded.
+const FAULT_RECORD_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// All violations.
+/// Returns all violations of the run: of the audit, the faults, the limits, and the requests without a final answer.
 pub fn check(
     site: &Site,
     plan: &[PlannedRequest],
@@ -30,12 +31,12 @@
     faults: &Faults,
 ) -> Violations {
     let mut violations = Violations::new();
-    let mut add = |promise, text| violations.entry(promise).or_default().push(text);
+    let mut add = |guarantee, text| violations.entry(guarantee).or_default().push(text);
     for finding in audit(report, &records.engines, &records.services) {
-        add(promise_of(&finding), format!("{finding:?}"));
+        add(guarantee_of(&finding), format!("{finding:?}"));
     }
-    for (promise, text) in &faults.findings {
-        add(promise, text.clone());
+    for (guarantee, text) in &faults.findings {
+        add(guarantee, text.clone());
     }
     for text in dispatched_twice(records) {
         add("dispatched_at_most_once", text);
@@ -44,28 +45,38 @@
     for (number, engine) in records.engines.iter().enumerate() {
         if engine.most_streams > allowed {
             let most = engine.most_streams;
-            add("limits", format!("engine-{number} had {most} of {allowed}"));
+            add(
+                "limits",
+                format!("engine-{number} ran {most} requests at once, limit {allowed}"),
+            );
         }
     }
     for (number, service) in records.services.iter().enumerate() {
         if service.most_running > allowed {
             let most = service.most_running;
-            add("limits", format!("ledger-{number} had {most} of {allowed}"));
+            add(
+                "limits",
+                format!("ledger-{number} ran {most} requests at once, limit {allowed}"),
+            );
         }
     }
-    for text in to_leaving_engines(records, faults) {
+    for text in dispatches_to_leaving_engines(records, faults) {
         add("leaving_takes_nothing_new", text);
     }
-    for result in report.results.iter().filter(|result| is_cut(result)) {
+    for result in report
+        .results
+        .iter()
+        .filter(|result| lacks_final_answer(result))
+    {
         let sent_at = plan[result.number as usize].at;
-        if !is_explained(result, sent_at, faults) {
+        if !was_open_during_node_fault(result, sent_at, faults) {
             add("final_answer", format!("{result:?}"));
         }
     }
     violations
 }
 
-fn promise_of(finding: &Finding) -> &'static str {
+fn guarantee_of(finding: &Finding) -> &'static str {
     match finding {
         Finding::RanTwice { .. } => "runs_at_most_once",
         Finding::RanThoughRefused { .. } => "a_refused_request_did_not_run",
@@ -74,17 +85,17 @@
     }
 }
 
-/// Prompts and orders that reached upstreams twice, whatever callers were told.
+/// Returns the prompts and orders that upstreams accepted more than once, whatever answers their callers got.
 fn dispatched_twice(records: &Records) -> Vec<String> {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     let dispatches = records.engines.iter().flat_map(|engine| &engine.dispatches);
-    let taken = dispatches.filter(|dispatch| {
+    let accepted = dispatches.filter(|dispatch| {
         !matches!(
             dispatch.outcome,
             DispatchOutcome::Fenced | DispatchOutcome::Refused
         )
     });
-    for dispatch in taken {
+    for dispatch in accepted {
         *counts.entry(&dispatch.prompt_hash).or_default() += 1;
     }
     for service in &records.services {
@@ -94,11 +105,11 @@
     }
     let twice = counts.into_iter().filter(|(_, count)| *count > 1);
     twice
-        .map(|(hash, count)| format!("{hash} {count} times"))
+        .map(|(hash, count)| format!("{hash} was accepted {count} times"))
         .collect()
 }
 
-fn to_leaving_engines(records: &Records, faults: &Faults) -> Vec<String> {
+fn dispatches_to_leaving_engines(records: &Records, faults: &Faults) -> Vec<String> {
     let mut found = Vec::new();
     for leaving in &faults.leaving {
         let from_ms = leaving.from_ms + LEAVING_WITHIN_MS;
@@ -109,14 +120,17 @@
             .filter(|dispatch| span.contains(&dispatch.arrived_unix_ms))
         {
             let late_ms = dispatch.arrived_unix_ms - leaving.from_ms;
-            found.push(format!("engine-{} after {late_ms} ms", leaving.engine));
+            found.push(format!(
+                "engine-{} got a dispatch {late_ms} ms after the announcement",
+                leaving.engine
+            ));
         }
     }
     found
 }
 
-/// Whether the caller got no final answer.
-fn is_cut(result: &RequestResult) -> bool {
+/// Returns true if the caller got neither a complete answer nor a refusal or failure that the program reports.
+fn lacks_final_answer(result: &RequestResult) -> bool {
     matches!(
         result.outcome,
         RequestOutcome::Broken
@@ -126,12 +140,12 @@
     )
 }
 
-/// Whether the entry was killed or frozen while the request was open.
-fn is_explained(result: &RequestResult, sent_at: Duration, faults: &Faults) -> bool {
+/// Returns true if the request's node was killed or frozen while the request was open.
+fn was_open_during_node_fault(result: &RequestResult, sent_at: Duration, faults: &Faults) -> bool {
     let ended_at = sent_at + Duration::from_millis(result.total_ms);
     faults.windows.iter().any(|window| {
         let until = window.until.unwrap_or(Duration::MAX);
-        let overlaps = sent_at <= until && ended_at + SLACK >= window.from;
+        let overlaps = sent_at <= until && ended_at + FAULT_RECORD_TOLERANCE >= window.from;
         overlaps && result.entry.as_ref() == Some(&window.entry)
     })
 }
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -1,7 +1,7 @@
-//! What goes wrong in a soak.
+//! Faults that a soak run injects.
 
 use {
-    super::support::{GENEROUS, Site, unix_ms, until},
+    super::support::{CONDITION_TIMEOUT, Site, unix_ms, wait_for},
     rand::Rng,
     rand_pcg::Pcg64Mcg,
     rustix::process::Signal,
@@ -15,35 +15,35 @@
 /// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A node is killed and starts anew.
+    /// A node is killed, and restarted at the end.
     KillNode,
-    /// A node stands still and wakes.
+    /// A node is frozen with `SIGSTOP`, and resumed at the end.
     FreezeNode,
-    /// A node is stopped as planned and starts anew.
+    /// A node gets `SIGTERM` for a planned stop, and is restarted at the end.
     StopNode,
-    /// The platform answers 503.
+    /// The platform answers every call with 503.
     PlatformDown,
-    /// The platform loses answers to writes that took effect.
+    /// The platform drops 30 % of the answers to writes that took effect.
     PlatformLosesAnswers,
     /// The platform accepts calls and never answers.
     PlatformSilent,
-    /// An engine loses all streams.
+    /// An engine crashes, loses all streams and is down for 1.5 s.
     EngineCrash,
-    /// An engine gets slow.
+    /// An engine becomes ten times slower.
     EngineSlow,
-    /// An engine's open connections go silent for good.
+    /// An engine's open connections go silent and stay so.
     EngineSilence,
-    /// An engine's connections close in the middle of streams.
+    /// An engine closes the connection of a stream after five tokens.
     EngineBreaks,
-    /// An engine sends pieces twice or in the wrong order.
+    /// An engine sends some pieces of its streams twice or out of order.
     EnginePieces,
-    /// A plain worker breaks all connections.
+    /// A plain upstream crashes, breaks all connections and is down for 1.5 s.
     ServiceCrash,
-    /// A plain worker breaks connections after the calls took effect.
+    /// A plain upstream closes five connections after the calls took effect and before their answers.
     ServiceCloses,
-    /// The catalogue changes.
+    /// The catalogue gets an additional account.
     CatalogueChange,
-    /// The VM of an engine is told to leave, and comes back.
+    /// The VM of an engine is listed as leaving, and as live again at the end.
     VmLeaves,
 }
 
@@ -66,32 +66,32 @@
 ];
 
 impl FaultKind {
-    /// All kinds.
+    /// All kinds of faults. The faults that a seed leads to depend on this order.
     pub const ALL: [Self; 15] = {
         let mut all = [Self::KillNode; 15];
-        let mut place = 0;
-        while place < all.len() {
-            all[place] = NAMES[place].0;
-            place += 1;
+        let mut index = 0;
+        while index < all.len() {
+            all[index] = NAMES[index].0;
+            index += 1;
         }
         all
     };
 
-    /// Name in options and figures.
+    /// Returns the name for command-line options and the summary.
     pub fn name(self) -> &'static str {
         let named = NAMES.iter().find(|(kind, _)| *kind == self);
         named.expect("every kind has a name").1
     }
 
-    /// Whether non-idempotent requests are refused while it lasts.
-    pub fn stops_orders(self) -> bool {
+    /// Returns true if nodes refuse non-idempotent requests during the fault.
+    pub fn blocks_orders(self) -> bool {
         matches!(
             self,
             Self::PlatformDown | Self::PlatformSilent | Self::PlatformLosesAnswers
         )
     }
 
-    fn hits_node(self) -> bool {
+    fn targets_node(self) -> bool {
         matches!(self, Self::KillNode | Self::FreezeNode | Self::StopNode)
     }
 }
@@ -103,61 +103,61 @@
         let named = NAMES.iter().find(|(_, known)| *known == name);
         named
             .map(|(kind, _)| *kind)
-            .ok_or(format!("no fault {name}"))
+            .ok_or(format!("unknown kind of fault: {name}"))
     }
 }
 
-/// A fault that lasts.
+/// A fault that has begun and not yet ended.
 #[derive(Debug, Clone)]
 pub struct Ongoing {
     kind: FaultKind,
     target: usize,
 }
 
-/// A span in which an entry may lose its open requests, since the traffic began.
+/// A span of the traffic in which a node may lose its open requests. Times count from the start of the traffic.
 #[derive(Debug, Clone)]
 pub struct Window {
-    /// Caller address of the entry.
+    /// Caller address of the node.
     pub entry: String,
-    /// Begin.
+    /// Start of the fault.
     pub from: Duration,
-    /// End; none while it lasts.
+    /// Time when the node served again; `None` until then.
     pub until: Option<Duration>,
 }
 
-/// A span in which an engine was to take no new work.
+/// A span in which an engine was announced as leaving and must get no new dispatches.
 #[derive(Debug, Clone)]
 pub struct Leaving {
-    /// Place of the engine.
+    /// Index of the engine.
     pub engine: usize,
-    /// First sign, by the machine's clock.
+    /// Unix time of the announcement, in milliseconds.
     pub from_ms: u64,
-    /// When it was taken back.
+    /// Unix time in milliseconds when the engine was listed as live again; `None` until then.
     pub until_ms: Option<u64>,
 }
 
-/// Begins and ends faults, and remembers what a checker has to know.
+/// Begins and ends faults, and records what the checker needs to know about them.
 #[derive(Debug)]
 pub struct Faults {
     began: Instant,
-    /// Places of the nodes that are hit in this round.
-    hit: Vec<usize>,
-    /// Entries that were killed or frozen.
+    /// Indices of the nodes that are targets of faults in this round.
+    affected: Vec<usize>,
+    /// Spans in which nodes were killed or frozen.
     pub windows: Vec<Window>,
-    /// Engines that were leaving.
+    /// Spans in which engines were leaving.
     pub leaving: Vec<Leaving>,
-    /// Faults by name, in their order.
+    /// Names of all faults so far, in order.
     pub log: Vec<&'static str>,
-    /// What the faults showed at once, such as a planned stop that did not end well.
+    /// Violations seen while injecting faults, such as a planned stop with a nonzero exit code.
     pub findings: Vec<(&'static str, String)>,
 }
 
 impl Faults {
-    /// No fault so far.
+    /// Creates an empty record for traffic that started at `began`.
     pub fn new(began: Instant) -> Self {
         Self {
             began,
-            hit: Vec::new(),
+            affected: Vec::new(),
             windows: Vec::new(),
             leaving: Vec::new(),
             log: Vec::new(),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Time since the traffic began.
+    /// Returns the time since the start of the traffic.
     pub fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
@@ -178,13 +178,13 @@
         random: &mut Pcg64Mcg,
     ) -> Ongoing {
         let targets = match kind {
-            _ if kind.hits_node() => site.nodes.len(),
+            _ if kind.targets_node() => site.nodes.len(),
             FaultKind::ServiceCrash | FaultKind::ServiceCloses => site.services.len(),
             _ => site.engines.len(),
         };
         let mut target = random.random_range(0..targets);
-        if kind.hits_node() {
-            target = self.whole_node(site, target);
+        if kind.targets_node() {
+            target = self.unaffected_node(site, target);
         }
         self.log.push(kind.name());
         match kind {
@@ -204,24 +204,27 @@
                     from_ms: unix_ms(),
                     until_ms: None,
                 });
-                order_vms(site, "leaving", target).await;
+                set_vm_list(site, "leaving", target).await;
             }
-            _ => order_fault(site, kind, target, random).await,
+            _ => inject_fault(site, kind, target, random).await,
         }
         Ongoing { kind, target }
     }
 
-    /// Ends a fault.
+    /// Ends a fault: restarts or resumes the node, or clears the fault at the stand-in.
     pub async fn end(&mut self, site: &mut Site, fault: &Ongoing) {
         let target = fault.target;
         match fault.kind {
             FaultKind::KillNode => site.nodes[target].restart(),
             FaultKind::FreezeNode => site.nodes[target].process.signal(Signal::CONT),
             FaultKind::StopNode => {
-                let status = site.nodes[target].process.ended(GENEROUS).await;
+                let status = site.nodes[target]
+                    .process
+                    .wait_for_exit(CONDITION_TIMEOUT)
+                    .await;
                 if status.code() != Some(0) {
                     self.findings
-                        .push(("planned_stop", format!("it ended with {status}")));
+                        .push(("planned_stop", format!("the node ended with {status}")));
                 }
                 site.nodes[target].restart();
             }
@@ -230,7 +233,7 @@
             | FaultKind::PlatformSilent => {
                 site.platform
                     .control
-                    .order("/faults", &json!({"clear": true}))
+                    .command("/faults", &json!({"clear": true}))
                     .await;
             }
             FaultKind::VmLeaves => {
@@ -242,37 +245,39 @@
                 {
                     leaving.until_ms = Some(unix_ms());
                 }
-                order_vms(site, "live", target).await;
+                set_vm_list(site, "live", target).await;
             }
             FaultKind::ServiceCrash | FaultKind::ServiceCloses => {
                 site.services[target]
                     .control
-                    .order("/faults", &json!({"fault": "clear"}))
+                    .command("/faults", &json!({"fault": "clear"}))
                     .await;
             }
             FaultKind::CatalogueChange => {}
             _ => {
                 site.engines[target]
                     .control
-                    .order("/faults", &json!({"fault": "clear"}))
+                    .command("/faults", &json!({"fault": "clear"}))
                     .await
             }
         }
     }
 
-    /// Places of the nodes that no fault hits.
-    pub fn untouched(&self, site: &Site, ongoing: &[Ongoing]) -> Vec<usize> {
-        let hit = |place: &usize| {
+    /// Returns the indices of the nodes that are no target of an ongoing fault.
+    pub fn unaffected(&self, site: &Site, ongoing: &[Ongoing]) -> Vec<usize> {
+        let is_affected = |index: &usize| {
             ongoing
                 .iter()
-                .any(|fault| fault.kind.hits_node() && fault.target == *place)
+                .any(|fault| fault.kind.targets_node() && fault.target == *index)
         };
-        (0..site.nodes.len()).filter(|place| !hit(place)).collect()
+        (0..site.nodes.len())
+            .filter(|index| !is_affected(index))
+            .collect()
     }
 
-    /// The nodes that were hit serve again.
+    /// Closes all windows at the current time, when the affected nodes serve again.
     pub fn close_windows(&mut self) {
-        self.hit.clear();
+        self.affected.clear();
         let now = self.began.elapsed();
         for window in &mut self.windows {
             window.until.get_or_insert(now);
@@ -287,16 +292,16 @@
         });
     }
 
-    /// The target, or the next node when a fault of this round hits it already.
-    fn whole_node(&mut self, site: &Site, mut target: usize) -> usize {
-        while self.hit.contains(&target) {
+    /// Returns `target`, or the next node that is no target of a fault in this round yet.
+    fn unaffected_node(&mut self, site: &Site, mut target: usize) -> usize {
+        while self.affected.contains(&target) {
             target = (target + 1) % site.nodes.len();
         }
-        self.hit.push(target);
+        self.affected.push(target);
         target
     }
 
-    /// An account of its own for each change; it has to be in force everywhere within seconds.
+    /// Adds an account to the catalogue and checks that the change is in force on all reachable nodes within 7 s.
     async fn change_catalogue(&mut self, site: &Site, random: &mut Pcg64Mcg) {
         let weight = random.random_range(1..1_000_u32);
         let mut document = site.catalogue();
@@ -306,47 +311,56 @@
             .expect("a list")
             .push(account);
         let node = random.random_range(0..site.nodes.len());
-        let asked = until("a node that takes the change", GENEROUS, || async {
-            for place in (node..site.nodes.len()).chain(0..node) {
-                if site.nodes[place].operators.version().await.is_some() {
-                    return Some(place);
+        let asked = wait_for(
+            "a node answers and can take the change",
+            CONDITION_TIMEOUT,
+            || async {
+                for index in (node..site.nodes.len()).chain(0..node) {
+                    if site.nodes[index].admin.version().await.is_some() {
+                        return Some(index);
+                    }
                 }
-            }
-            None
-        })
+                None
+            },
+        )
         .await
         .0;
-        let version = site.nodes[asked].operators.apply(&document).await;
+        let version = site.nodes[asked].admin.apply(&document).await;
         let accepted_at = Instant::now();
         for node in &site.nodes {
             let seen = || async {
-                match node.operators.version().await {
+                match node.admin.version().await {
                     Some(seen) if seen < version => None,
-                    // A node that does not answer is hit by another fault and is looked at by the probes.
+                    // A node that does not answer has another fault; the probes check it.
                     _ => Some(()),
                 }
             };
-            until("the accepted version", GENEROUS, seen).await;
+            wait_for(
+                "every reachable node has the accepted version in force",
+                CONDITION_TIMEOUT,
+                seen,
+            )
+            .await;
         }
         if accepted_at.elapsed() > Duration::from_secs(7) {
             let took = accepted_at.elapsed();
             self.findings.push((
                 "catalogue_in_force",
-                format!("version {version} after {took:?}"),
+                format!("version {version} was in force only after {took:?}"),
             ));
         }
     }
 }
 
-async fn order_vms(site: &Site, list: &str, engine: usize) {
-    let mut order = json!({"live": [], "leaving": []});
-    order[list] = json!([format!("vm-engine-{engine}")]);
-    site.platform.control.order("/vms", &order).await;
+async fn set_vm_list(site: &Site, list: &str, engine: usize) {
+    let mut vms = json!({"live": [], "leaving": []});
+    vms[list] = json!([format!("vm-engine-{engine}")]);
+    site.platform.control.command("/vms", &vms).await;
 }
 
-async fn order_fault(site: &Site, kind: FaultKind, target: usize, random: &mut Pcg64Mcg) {
+async fn inject_fault(site: &Site, kind: FaultKind, target: usize, random: &mut Pcg64Mcg) {
     let lose = json!({"share": 0.3, "seed": random.random::<u32>()});
-    let order: Value = match kind {
+    let fault: Value = match kind {
         FaultKind::PlatformDown => json!({"down": true}),
         FaultKind::PlatformLosesAnswers => json!({"lose_answers": lose}),
         FaultKind::PlatformSilent => json!({"silent": true}),
@@ -360,9 +374,9 @@
         _ => return,
     };
     let control = match kind {
-        _ if kind.stops_orders() => &site.platform.control,
+        _ if kind.blocks_orders() => &site.platform.control,
         FaultKind::ServiceCrash | FaultKind::ServiceCloses => &site.services[target].control,
         _ => &site.engines[target].control,
     };
-    control.order("/faults", &order).await;
+    control.command("/faults", &fault).await;
 }
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,6 +1,8 @@
-//! A bounded, seeded soak: six nodes and both kinds of services as processes, random faults, an independent checker.
+//! Runs a soak of limited duration with a seed: six nodes, eight engines and four plain upstreams as processes, under
+//! traffic and random faults. A checker that does not rely on the nodes then looks for violated guarantees.
 //!
-//! `cargo build --release && cargo run --release --example soak -- --minutes 3 --seed 1`; the exit code tells of violations.
+//! `cargo build --release && cargo run --release --example soak -- --minutes 3 --seed 1`; the exit code is nonzero if
+//! it finds any violation.
 
 mod checker;
 mod faults;
@@ -25,14 +27,14 @@
     tokio::time::sleep,
 };
 
-/// Share of the rounds in which two faults come together.
-const TWO_AT_ONCE: f64 = 0.3;
-/// Time that a fault lasts.
-const FAULT_LASTS_MS: std::ops::RangeInclusive<u64> = 2_000..=6_000;
-/// Quiet time before the first fault and at the end.
-const QUIET: Duration = Duration::from_secs(3);
+/// Share of the rounds with two faults at the same time.
+const TWO_FAULTS_SHARE: f64 = 0.3;
+/// Range of a fault's duration, in milliseconds.
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 2_000..=6_000;
+/// Time without faults before the first one. The last round begins at least three times this long before the end.
+const QUIET_TIME: Duration = Duration::from_secs(3);
 
-/// Runs a whole system under random faults and counts broken promises.
+/// Runs a complete system under random faults and counts violated guarantees.
 #[derive(FromArgs, Debug)]
 struct Options {
     /// minutes of traffic
@@ -41,13 +43,13 @@
     /// seed of the traffic and of the faults
     #[argh(option, default = "1")]
     seed: u64,
-    /// requests sent in a second
+    /// requests per second
     #[argh(option, default = "50.0")]
     rate: f64,
     /// directory into which the logs of all processes are copied at the end
     #[argh(option)]
     keep_logs: Option<PathBuf>,
-    /// kind of the faults; name it again for each further one; all when missing
+    /// kind of fault to inject; repeat the option for several kinds; default: all kinds
     #[argh(option)]
     fault: Vec<FaultKind>,
 }
@@ -55,10 +57,10 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let options: Options = argh::from_env();
-    let (text, sound) = soak(&options).await;
-    // A reader that closed its end is no fault of the soak.
+    let (text, has_no_violations) = soak(&options).await;
+    // If the reader has closed the pipe, the exit code still reports the result.
     let _ = io::stdout().lock().write_all(text.as_bytes());
-    if sound {
+    if has_no_violations {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -76,8 +78,8 @@
 
 async fn soak(options: &Options) -> (String, bool) {
     let mut site = Site::start(site_settings()).await;
-    let lasts = Duration::from_secs_f64(options.minutes * 60.0);
-    let requests = (options.rate * lasts.as_secs_f64()) as u32;
+    let duration = Duration::from_secs_f64(options.minutes * 60.0);
+    let requests = (options.rate * duration.as_secs_f64()) as u32;
     let traffic = traffic(options.seed, requests, options.rate);
     let plan = dragonflystep::fakes::caller::plan(&traffic);
     let caller = site.caller(traffic);
@@ -86,8 +88,8 @@
     let mut faults = Faults::new(began);
     let mut recoveries = Recoveries::default();
     let mut random = Pcg64Mcg::seed_from_u64(options.seed);
-    sleep(QUIET).await;
-    while began.elapsed() + QUIET * 3 < lasts {
+    sleep(QUIET_TIME).await;
+    while began.elapsed() + QUIET_TIME * 3 < duration {
         round(
             options,
             &mut site,
@@ -114,7 +116,7 @@
     (text, violations.is_empty())
 }
 
-/// One or two faults, each time with the time to recover while they last and after them.
+/// Injects one or two faults and records how long the system takes to recover after their start and after their end.
 async fn round(
     options: &Options,
     site: &mut Site,
@@ -127,9 +129,9 @@
     } else {
         options.fault.clone()
     };
-    let count = 1 + usize::from(random.random_bool(TWO_AT_ONCE));
+    let count = 1 + usize::from(random.random_bool(TWO_FAULTS_SHARE));
     let chosen: Vec<FaultKind> = kinds.choose_multiple(random, count).copied().collect();
-    let lasts = Duration::from_millis(random.random_range(FAULT_LASTS_MS));
+    let duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
     let mut ongoing = Vec::new();
     for kind in &chosen {
         ongoing.push(faults.begin(site, *kind, random).await);
@@ -140,20 +142,20 @@
         [kind] => kind.name().to_owned(),
         _ => "two_at_once".to_owned(),
     };
-    let untouched = faults.untouched(site, &ongoing);
-    let orders = !chosen.iter().any(|kind| kind.stops_orders());
-    let took = probe::until_good(site, &untouched, orders).await;
+    let unaffected = faults.unaffected(site, &ongoing);
+    let with_orders = !chosen.iter().any(|kind| kind.blocks_orders());
+    let took = probe::time_to_recover(site, &unaffected, with_orders).await;
     recoveries.during(&name, took);
-    let first = took;
-    sleep(lasts.saturating_sub(began.elapsed())).await;
+    let took_during = took;
+    sleep(duration.saturating_sub(began.elapsed())).await;
     for fault in &ongoing {
         faults.end(site, fault).await;
     }
     let all: Vec<usize> = (0..site.nodes.len()).collect();
-    let took = probe::until_good(site, &all, true).await;
+    let took = probe::time_to_recover(site, &all, true).await;
     recoveries.after(&name, took);
     recoveries.round(format!(
-        "{round_began_s} s, {ongoing:?}, {first:?}, {took:?}"
+        "{round_began_s} s, {ongoing:?}, {took_during:?}, {took:?}"
     ));
     faults.close_windows();
 }
--- a/examples/soak/probe.rs
+++ b/examples/soak/probe.rs
@@ -1,7 +1,7 @@
-//! Small requests of each kind through chosen nodes, to see when all goes well again.
+//! Probes selected nodes with small requests of each kind, to find out when the system has recovered from a fault.
 
 use {
-    super::support::{Answer, Site, ask, order_request, prompt_request},
+    super::support::{Answer, Site, order_request, prompt_request, send_request},
     futures::future::join_all,
     reqwest::Client,
     std::{
@@ -10,48 +10,49 @@
     },
 };
 
-/// A good answer comes within this time.
-const GOOD_WITHIN: Duration = Duration::from_secs(2);
-/// Longest wait for good answers.
-const LONGEST: Duration = Duration::from_secs(60);
-/// Prompts for each node in a round, so that several engines get one.
-const PROMPTS: usize = 3;
+/// Timeout of one round of probes.
+const ROUND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which the wait for a successful round ends.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Prompts sent through each node in a round; more than one, so that several engines get a prompt.
+const PROMPTS_PER_NODE: usize = 3;
 
-/// Time until a round of requests through all of `nodes` was good; none when that took too long.
-pub async fn until_good(site: &Site, nodes: &[usize], orders: bool) -> Option<Duration> {
+/// Probes `nodes` until all requests of a round succeed, and returns the time until that round began. Returns `None`
+/// after a minute without success. Orders are sent only if `with_orders` is set.
+pub async fn time_to_recover(site: &Site, nodes: &[usize], with_orders: bool) -> Option<Duration> {
     let began = std::time::Instant::now();
-    while began.elapsed() < LONGEST {
+    while began.elapsed() < RECOVERY_TIMEOUT {
         let started = began.elapsed();
-        if is_good(site, nodes, orders).await {
+        if round_succeeds(site, nodes, with_orders).await {
             return Some(started);
         }
     }
     None
 }
 
-async fn is_good(site: &Site, nodes: &[usize], orders: bool) -> bool {
-    static NEXT: AtomicU64 = AtomicU64::new(0);
+async fn round_succeeds(site: &Site, nodes: &[usize], with_orders: bool) -> bool {
+    static NEXT_KEY: AtomicU64 = AtomicU64::new(0);
     let client = Client::builder().no_proxy().build();
     let client = client.expect("a client without TLS can always be made");
-    let mut asked = Vec::new();
-    for place in nodes {
-        let entry = site.nodes[*place].caller_address;
-        for _ in 0..PROMPTS {
-            let key = format!("probe-{}", NEXT.fetch_add(1, Ordering::Relaxed));
-            asked.push(ask(prompt_request(&client, entry, &key, &key, 3)));
+    let mut requests = Vec::new();
+    for index in nodes {
+        let entry = site.nodes[*index].caller_address;
+        for _ in 0..PROMPTS_PER_NODE {
+            let key = format!("probe-{}", NEXT_KEY.fetch_add(1, Ordering::Relaxed));
+            requests.push(send_request(prompt_request(&client, entry, &key, &key, 3)));
         }
-        if orders {
-            let key = format!("probe-{}", NEXT.fetch_add(1, Ordering::Relaxed));
-            asked.push(ask(order_request(&client, entry, &key, &key)));
+        if with_orders {
+            let key = format!("probe-{}", NEXT_KEY.fetch_add(1, Ordering::Relaxed));
+            requests.push(send_request(order_request(&client, entry, &key, &key)));
         }
     }
-    let answers = tokio::time::timeout(GOOD_WITHIN, join_all(asked)).await;
+    let answers = tokio::time::timeout(ROUND_TIMEOUT, join_all(requests)).await;
     answers.is_ok_and(|answers| {
-        let good = |answer: &Option<Answer>| {
+        let succeeded = |answer: &Option<Answer>| {
             answer
                 .as_ref()
                 .is_some_and(|answer| answer.status.is_success() && answer.refusal().is_none())
         };
-        answers.iter().all(good)
+        answers.iter().all(succeeded)
     })
 }
--- a/examples/soak/summary.rs
+++ b/examples/soak/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of a soak as text.
+//! Writes the results of a soak run as text.
 
 use {
     super::{checker::Violations, faults::Faults},
@@ -6,15 +6,15 @@
     std::{collections::BTreeMap, fmt::Write, time::Duration},
 };
 
-/// Length of a span of the traffic that is shown in one line.
+/// Seconds of traffic summarized in one line.
 const SPAN_SECONDS: u64 = 10;
-/// Violations of one promise that are shown in full.
-const SHOWN: usize = 5;
+/// Number of violations of one guarantee that are written in full.
+const SHOWN_VIOLATIONS: usize = 5;
 
-/// Times to recover of one kind of fault; none where it took longer than was waited for.
+/// Recovery times from one kind of fault; `None` where the system did not recover within the probes' timeout.
 type Times = Vec<Option<Duration>>;
 
-/// Times to recover.
+/// Recovery times from all faults of a run, by kind of fault.
 #[derive(Debug, Default)]
 pub struct Recoveries {
     during: BTreeMap<String, Times>,
@@ -23,23 +23,23 @@
 }
 
 impl Recoveries {
-    /// Notes what was done in a round, and how long good answers took to come back.
+    /// Adds the line of one round: its start, its faults and the recovery times.
     pub fn round(&mut self, line: String) {
         self.rounds.push(line);
     }
 
-    /// From the beginning of a fault, through the nodes that it did not hit.
+    /// Adds a recovery time counted from the start of a fault and probed through the unaffected nodes.
     pub fn during(&mut self, name: &str, took: Option<Duration>) {
         self.during.entry(name.to_owned()).or_default().push(took);
     }
 
-    /// From the end of a fault, through all nodes and with orders.
+    /// Adds a recovery time counted from the end of a fault and probed through all nodes, with orders.
     pub fn after(&mut self, name: &str, took: Option<Duration>) {
         self.after.entry(name.to_owned()).or_default().push(took);
     }
 }
 
-/// All figures.
+/// Returns the summary of a run.
 pub fn text(
     seed: u64,
     plan: &[PlannedRequest],
@@ -54,7 +54,7 @@
         report.tiers.values().map(count).sum()
     };
     let line = |text: &mut String, line: String| {
-        // Writing to a text does not fail.
+        // Writing to a `String` does not fail.
         let _ = writeln!(text, "{line}");
     };
     line(
@@ -93,7 +93,7 @@
             format!("{title}: count, p50 ms, max ms, not within a minute"),
         );
         for (name, times) in times {
-            line(&mut text, format!("  {name}: {}", recovery(times)));
+            line(&mut text, format!("  {name}: {}", format_recovery(times)));
         }
     }
     line(
@@ -113,16 +113,16 @@
     }
     let count: usize = violations.values().map(Vec::len).sum();
     line(&mut text, format!("violations: {count}"));
-    for (promise, found) in violations {
-        line(&mut text, format!("  {promise}: {}", found.len()));
-        for one in found.iter().take(SHOWN) {
+    for (guarantee, found) in violations {
+        line(&mut text, format!("  {guarantee}: {}", found.len()));
+        for one in found.iter().take(SHOWN_VIOLATIONS) {
             line(&mut text, format!("    {one}"));
         }
     }
     text
 }
 
-/// What became of the requests of each span.
+/// Counts the requests, complete answers and failures of each span of `SPAN_SECONDS`, by the number of the span.
 fn spans(plan: &[PlannedRequest], report: &CallerReport) -> BTreeMap<u64, String> {
     let mut counts: BTreeMap<u64, (u32, u32, BTreeMap<String, u32>)> = BTreeMap::new();
     for result in &report.results {
@@ -152,7 +152,7 @@
         .collect()
 }
 
-fn recovery(times: &Times) -> String {
+fn format_recovery(times: &Times) -> String {
     let mut known_ms: Vec<u128> = times.iter().flatten().map(Duration::as_millis).collect();
     known_ms.sort_unstable();
     let missing = times.len() - known_ms.len();
--- a/tests/catalogue_everywhere.rs
+++ b/tests/catalogue_everywhere.rs
@@ -1,4 +1,8 @@
-//! Operators race: accepted changes are in force everywhere within seconds and stay, conflicts are told.
+//! Guards against lost and conflicting catalogue changes when six operators change the catalogue at the same time.
+//!
+//! Changes of the same item race through different nodes: exactly one is accepted, and the others are refused with the
+//! current version. Changes of different items are all accepted. Every accepted change has to be in force on every node
+//! within 7 s, also on a node that restarts meanwhile, and no node may go back to an older version.
 
 mod support;
 
@@ -6,10 +10,10 @@
     futures::future::join_all,
     serde_json::{Value, json},
     std::time::{Duration, Instant},
-    support::{GENEROUS, Site, SiteSettings, until},
+    support::{CONDITION_TIMEOUT, Site, SiteSettings, wait_for},
 };
 
-/// From the acceptance of a change until it is in force on every node.
+/// Longest time from the acceptance of a change until it is in force on every node.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(7);
 const OPERATORS: usize = 6;
 
@@ -17,7 +21,7 @@
     json!({"id": name, "weight": weight, "key_sha256": format!("{:064x}", name.len())})
 }
 
-/// The same document with one account more.
+/// Returns a copy of the document in which the account `name` is added or replaced.
 fn with_account(document: &Value, name: &str, weight: u32) -> Value {
     let mut document = document.clone();
     let accounts = document["accounts"].as_array_mut().expect("a list");
@@ -27,16 +31,16 @@
 }
 
 async fn edits(site: &Site, document: &Value) -> (u64, Value) {
-    let current = until("the catalogue", GENEROUS, || {
-        site.nodes[0].operators.catalogue()
+    let current = wait_for("the node returns its catalogue", CONDITION_TIMEOUT, || {
+        site.nodes[0].admin.catalogue()
     })
     .await
     .0;
     let document = dragonflystep::config::CatalogueDocument::parse(&document.to_string());
     let edits = document
-        .expect("a good document")
+        .expect("the document is valid")
         .edits_against(&current)
-        .expect("no faults");
+        .expect("the document has no faults");
     (
         current.version,
         serde_json::to_value(edits).expect("edits are JSON"),
@@ -44,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_of_the_racing_operators_wins_and_the_others_are_told_the_current_version() {
+async fn one_of_the_conflicting_changes_is_accepted_and_the_others_get_the_current_version() {
     let mut site = Site::start(SiteSettings::default()).await;
     let base = site.catalogue();
     let mut changes = Vec::new();
@@ -57,7 +61,7 @@
         .map(|(operator, (based_on, edits))| {
             let node = &site.nodes[operator % site.nodes.len()];
             async move {
-                node.operators
+                node.admin
                     .change(*based_on, "race", edits)
                     .await
                     .expect("an answer")
@@ -76,7 +80,7 @@
         assert_eq!(answer["current"].as_u64(), Some(accepted[0]), "{answer}");
         assert_eq!(answer["faults"][0]["fault"], "conflict", "{answer}");
     }
-    // A node that starts anew meanwhile has the change in force within the same time.
+    // A node that restarts meanwhile must have the change in force within the same time.
     site.nodes[2].process.kill();
     site.nodes[2].restart();
     wait_in_force(&site, accepted[0], accepted_at).await;
@@ -100,7 +104,7 @@
         .map(|(operator, (based_on, edits))| {
             let node = &site.nodes[operator % site.nodes.len()];
             async move {
-                node.operators
+                node.admin
                     .change(*based_on, "no race", edits)
                     .await
                     .expect("an answer")
@@ -115,38 +119,36 @@
     let versions = answers
         .iter()
         .filter_map(|(_, answer)| answer["version"].as_u64());
-    let newest = versions.max().expect("versions were told");
+    let newest = versions.max().expect("the accepted changes have versions");
     wait_in_force(&site, newest, accepted_at).await;
     for node in &site.nodes {
-        let catalogue = node
-            .operators
-            .get("/admin/catalogue")
-            .await
-            .expect("a page");
+        let catalogue = node.admin.get("/admin/catalogue").await.expect("a page");
         let text = catalogue.to_string();
         for operator in 0..OPERATORS {
             assert!(
                 text.contains(&format!("account-{operator}")),
-                "{} lost {operator}",
+                "{} lost the change of operator {operator}",
                 node.name
             );
         }
     }
 }
 
-/// Waits for the version on all nodes; no node may go back meanwhile.
+/// Waits until every node has at least `version` in force. Fails if a node goes back to an older version.
 async fn wait_in_force(site: &Site, version: u64, accepted_at: Instant) {
     for node in &site.nodes {
         let mut newest = 0;
-        until("the accepted version in force", GENEROUS, || {
-            node.operators.version()
-        })
+        wait_for(
+            "the node returns its catalogue version",
+            CONDITION_TIMEOUT,
+            || node.admin.version(),
+        )
         .await;
         loop {
-            let seen = node.operators.version().await.unwrap_or(newest);
+            let seen = node.admin.version().await.unwrap_or(newest);
             assert!(
                 seen >= newest,
-                "{} went back from {newest} to {seen}",
+                "{} went back from version {newest} to {seen}",
                 node.name
             );
             newest = seen;
@@ -155,14 +157,14 @@
             }
             assert!(
                 accepted_at.elapsed() <= IN_FORCE_WITHIN,
-                "{} has only {seen}",
+                "{} still has version {seen}, not {version}, after {IN_FORCE_WITHIN:?}",
                 node.name
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         assert!(
             accepted_at.elapsed() <= IN_FORCE_WITHIN,
-            "{} was late",
+            "{} needed more than {IN_FORCE_WITHIN:?} for version {version}",
             node.name
         );
     }
--- a/tests/engine_faults.rs
+++ b/tests/engine_faults.rs
@@ -1,4 +1,8 @@
-//! Engines die, go silent, get slow or crash on one prompt: answers stay right, and no bystander suffers for it.
+//! Guards against a faulty engine that corrupts answers or harms requests that it does not run.
+//!
+//! The tests let one engine crash, go silent, slow down, close connections, or send pieces twice or out of order, 2 s
+//! into the traffic; one more test sends a prompt that crashes every engine. Failed requests must get an explicit
+//! failure, all other answers must be correct, and no upstream may exceed its limit of running requests.
 
 mod support;
 
@@ -8,12 +12,16 @@
     reqwest::Client,
     serde_json::{Value, json},
     std::time::{Duration, Instant},
-    support::{GENEROUS, Site, SiteSettings, ask, incomplete, prompt_request, records_of, traffic},
+    support::{
+        CONDITION_TIMEOUT, Site, SiteSettings, incomplete, prompt_request, records_of,
+        send_request, traffic,
+    },
     tokio::time::sleep,
 };
 
 const FAULT_AFTER: Duration = Duration::from_secs(2);
-/// Time without progress after which a stream counts as stalled, and some more for the answer to its caller.
+/// Longest total time of a failed stream: the time without progress after which it counts as stalled, and some time for
+/// the answer to its caller.
 const STALLED_WITHIN_MS: u64 = 9_000;
 
 fn completions(seed: u64) -> TrafficSettings {
@@ -28,11 +36,11 @@
     let caller = site.caller(completions(seed));
     let running = tokio::spawn(async move { caller.run().await });
     sleep(FAULT_AFTER).await;
-    site.engines[0].control.order("/faults", fault).await;
+    site.engines[0].control.command("/faults", fault).await;
     running.await.expect("the caller does not panic")
 }
 
-/// Code of a told failure, wherever in the answer it was told.
+/// Returns the code of a refusal, or of a failure reported within a stream.
 fn code(outcome: &RequestOutcome) -> Option<&str> {
     match outcome {
         RequestOutcome::Refused { refusal } | RequestOutcome::Failed { refusal } => {
@@ -42,9 +50,9 @@
     }
 }
 
-/// Requests sent to the upstream that broke off, as the nodes logged them.
-fn broken_off(site: &Site, upstream: &str) -> usize {
-    let logs = site.nodes.iter().map(|node| node.process.errors());
+/// Counts the requests to `upstream` that broke off, from the logs of the nodes.
+fn count_broken_off(site: &Site, upstream: &str) -> usize {
+    let logs = site.nodes.iter().map(|node| node.process.stderr());
     let lines: String = logs.collect();
     lines
         .lines()
@@ -52,28 +60,31 @@
         .count()
 }
 
-async fn assert_sound(site: &Site, report: &CallerReport) {
+async fn assert_guarantees_and_limits(site: &Site, report: &CallerReport) {
     let records = records_of(site).await;
-    records.assert_promises(report);
+    records.assert_guarantees(report);
     records.assert_limits(site.settings.running_requests);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_fails_only_its_own_streams_and_tells_so() {
+async fn an_engine_crash_fails_only_its_own_streams_with_upstream_failed() {
     let site = Site::start(SiteSettings::default()).await;
     let report = run_with(&site, 11, &json!({"fault": "crash", "down_ms": 1_500})).await;
-    // Counted where requests are sent: what was on its way to the engine when it died is lost too, though
-    // the engine never read it.
+    // The count comes from the nodes' logs and not from the engine's records: requests in transit when the engine dies
+    // are lost too, but the engine never reads them.
     let broken: Vec<usize> = site
         .engines
         .iter()
-        .map(|engine| broken_off(&site, &engine.address.to_string()))
+        .map(|engine| count_broken_off(&site, &engine.address.to_string()))
         .collect();
-    assert!(broken[0] > 0, "the engine died with nothing running");
+    assert!(
+        broken[0] > 0,
+        "no request was running when the engine crashed"
+    );
     let failed = incomplete(&report);
     assert!(
         failed.len() <= broken[0],
-        "{} failed, broken off by engine {broken:?}: {failed:?}",
+        "{} requests failed, broken off per engine {broken:?}: {failed:?}",
         failed.len()
     );
     assert_eq!(
@@ -84,7 +95,7 @@
     for result in failed {
         assert_eq!(code(&result.outcome), Some("upstream_failed"), "{result:?}");
     }
-    assert_sound(&site, &report).await;
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -92,18 +103,18 @@
     let site = Site::start(SiteSettings::default()).await;
     let report = run_with(&site, 12, &json!({"fault": "silence_existing"})).await;
     for result in incomplete(&report) {
-        let told = ["upstream_stalled", "upstream_failed"];
+        let expected = ["upstream_stalled", "upstream_failed"];
         assert!(
-            code(&result.outcome).is_some_and(|code| told.contains(&code)),
+            code(&result.outcome).is_some_and(|code| expected.contains(&code)),
             "{result:?}"
         );
         assert!(result.total_ms <= STALLED_WITHIN_MS, "{result:?}");
     }
-    assert_sound(&site, &report).await;
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_work_avoids_a_straggler() {
+async fn new_work_avoids_a_slow_engine() {
     let site = Site::start(SiteSettings::default()).await;
     let report = run_with(&site, 13, &json!({"fault": "slow", "factor": 20.0})).await;
     assert!(
@@ -119,9 +130,9 @@
         .collect();
     assert!(
         counts[0] * 2 < counts[1],
-        "the straggler got as much as its neighbour: {counts:?}"
+        "the slow engine got more than half as much work as its neighbour: {counts:?}"
     );
-    assert_sound(&site, &report).await;
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -130,12 +141,12 @@
     let report = run_with(&site, 14, &json!({"fault": "close_after", "tokens": 7})).await;
     assert!(incomplete(&report).is_empty(), "{:?}", incomplete(&report));
     let records = records_of(&site).await;
-    assert!(records.engines[0].resumed > 0, "streams were resumed");
-    assert_sound(&site, &report).await;
+    assert!(records.engines[0].resumed > 0, "no stream was resumed");
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn pieces_that_come_twice_or_out_of_order_reach_the_caller_right_or_as_a_told_failure() {
+async fn duplicated_and_reordered_pieces_give_a_correct_answer_or_an_explicit_failure() {
     let site = Site::start(SiteSettings::default()).await;
     let fault = json!({"fault": "pieces", "duplicate": 0.1, "reorder": 0.05});
     let report = run_with(&site, 15, &fault).await;
@@ -143,24 +154,24 @@
     for result in incomplete(&report) {
         assert!(code(&result.outcome).is_some(), "{result:?}");
     }
-    assert_sound(&site, &report).await;
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
-/// Times that one prompt may crash an engine, whichever entry it comes through.
+/// Most engine crashes that one prompt may cause in total, through all entries.
 const MOST_CRASHES: u64 = 4;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_crashes_engines_is_quarantined_and_bystanders_are_not() {
+async fn a_prompt_that_crashes_engines_is_quarantined_and_other_prompts_are_not() {
     let site = Site::start(SiteSettings::default()).await;
-    let mark = "the mark that crashes an engine";
+    let crash_prompt = "the mark that crashes an engine";
     for engine in &site.engines {
-        let fault = json!({"fault": "crash_on", "text": mark, "down_ms": 400});
-        engine.control.order("/faults", &fault).await;
+        let fault = json!({"fault": "crash_on", "text": crash_prompt, "down_ms": 400});
+        engine.control.command("/faults", &fault).await;
     }
-    let mut bystanders = completions(16);
-    bystanders.requests = 200;
-    bystanders.requests_per_s = 15.0;
-    let caller = site.caller(bystanders);
+    let mut other_prompts = completions(16);
+    other_prompts.requests = 200;
+    other_prompts.requests_per_s = 15.0;
+    let caller = site.caller(other_prompts);
     let running = tokio::spawn(async move { caller.run().await });
     let client = Client::builder()
         .no_proxy()
@@ -172,7 +183,14 @@
     while began.elapsed() < Duration::from_secs(11) {
         let node = &site.nodes[sent % site.nodes.len()];
         let key = format!("crash-{sent}");
-        let answer = ask(prompt_request(&client, node.caller_address, &key, mark, 20)).await;
+        let answer = send_request(prompt_request(
+            &client,
+            node.caller_address,
+            &key,
+            crash_prompt,
+            20,
+        ))
+        .await;
         let refusal = answer.and_then(|answer| answer.refusal());
         quarantined += usize::from(refusal.is_some_and(|refusal| refusal.code == "quarantined"));
         sent += 1;
@@ -181,21 +199,24 @@
     let report = running.await.expect("the caller does not panic");
     let records = records_of(&site).await;
     let crashes: u64 = records.engines.iter().map(|engine| engine.crashes).sum();
-    assert!(crashes <= MOST_CRASHES, "{crashes} crashes by {sent} sends");
+    assert!(
+        crashes <= MOST_CRASHES,
+        "{crashes} engine crashes after sending the prompt {sent} times"
+    );
     assert!(quarantined > 0, "the prompt was never quarantined");
     for result in incomplete(&report) {
         assert_ne!(code(&result.outcome), Some("quarantined"), "{result:?}");
         assert!(code(&result.outcome).is_some(), "{result:?}");
     }
-    assert_sound(&site, &report).await;
+    assert_guarantees_and_limits(&site, &report).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_accepts_and_never_answers_holds_up_only_what_it_got() {
+async fn silent_connections_to_an_engine_do_not_hold_up_new_requests() {
     let site = Site::start(SiteSettings::default()).await;
     site.engines[0]
         .control
-        .order("/faults", &json!({"fault": "silence_existing"}))
+        .command("/faults", &json!({"fault": "silence_existing"}))
         .await;
     let client = Client::builder()
         .no_proxy()
@@ -206,15 +227,19 @@
         .collect();
     let sent = keys.iter().enumerate().map(|(number, key)| {
         let node = &site.nodes[number % site.nodes.len()];
-        ask(prompt_request(&client, node.caller_address, key, key, 5))
+        send_request(prompt_request(&client, node.caller_address, key, key, 5))
     });
-    let answers = tokio::time::timeout(GENEROUS, join_all(sent))
+    let answers = tokio::time::timeout(CONDITION_TIMEOUT, join_all(sent))
         .await
-        .expect("answers come");
+        .expect("all answers arrive in time");
     let whole = answers
         .iter()
         .flatten()
         .filter(|answer| answer.is_whole_stream())
         .count();
-    assert_eq!(whole, keys.len(), "new connections work: {answers:?}");
+    assert_eq!(
+        whole,
+        keys.len(),
+        "requests on new connections failed: {answers:?}"
+    );
 }
--- a/tests/entry_killed.rs
+++ b/tests/entry_killed.rs
@@ -1,4 +1,7 @@
-//! An entry is killed under traffic: only its open requests are lost, and nothing runs twice.
+//! Guards against a killed node that loses more than its open requests, or causes a second run.
+//!
+//! The test kills one of three nodes 3 s into traffic of 50 requests per second. Only requests that were open at the
+//! killed node may fail, and no request may run twice.
 
 mod support;
 
@@ -34,8 +37,11 @@
         );
     }
     let after_the_kill = plan.iter().filter(|request| request.at > killed_at).count();
-    assert!(after_the_kill > 100, "the traffic went on after the kill");
+    assert!(
+        after_the_kill > 100,
+        "only {after_the_kill} requests were sent after the kill"
+    );
     let records = records_of(&site).await;
-    records.assert_promises(&report);
+    records.assert_guarantees(&report);
     records.assert_limits(site.settings.running_requests);
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,23 +1,26 @@
-//! The command that tells the story of one request from the logs of several nodes.
+//! Guards against an `explain` command that leaves out or misorders log lines of a request.
+//!
+//! The command merges the logs of several nodes and prints the lines of one request in order of time, after the last
+//! lines on catalogue versions and upstream notices that its nodes logged before.
 
 use std::{fs, process::Command};
 
 fn explain(request: &str, logs: &[(&str, &str)]) -> (Option<i32>, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let mut command = Command::new(env!("CARGO_BIN_EXE_dragonflystep"));
     command.args(["explain", "--request", request]);
     for (name, text) in logs {
-        let path = folder.path().join(name);
-        fs::write(&path, text).expect("a log file");
+        let path = directory.path().join(name);
+        fs::write(&path, text).expect("the log file can be written");
         command.arg(path);
     }
     let output = command.output().expect("the command starts");
-    let told = String::from_utf8_lossy(&output.stdout).into_owned();
-    (output.status.code(), told)
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    (output.status.code(), stdout)
 }
 
 #[test]
-fn lines_of_a_request_come_in_order_with_the_beliefs_before_them() {
+fn lines_of_a_request_come_in_order_after_the_catalogue_version_in_force() {
     let first = concat!(
         r#"{"time_ms":1,"node":"a","message":"catalogue in force","version":7}"#,
         "\n",
@@ -35,10 +38,10 @@
         r#"{"time_ms":3,"node":"c","message":"catalogue in force","version":1}"#,
         "\n",
     );
-    let (code, told) = explain("r1", &[("a.log", first), ("b.log", second)]);
+    let (code, stdout) = explain("r1", &[("a.log", first), ("b.log", second)]);
     assert_eq!(code, Some(0));
-    let lines: Vec<&str> = told.lines().collect();
-    assert_eq!(lines.len(), 3, "{told}");
+    let lines: Vec<&str> = stdout.lines().collect();
+    assert_eq!(lines.len(), 3, "{stdout}");
     assert!(lines[0].contains("\"version\":8"));
     assert!(lines[1].contains("upstream broke off"));
     assert!(lines[2].contains("request ended"));
@@ -46,9 +49,9 @@
 
 #[test]
 fn a_request_that_no_log_names_is_bad_input() {
-    let (code, told) = explain("r1", &[("a.log", "")]);
+    let (code, stdout) = explain("r1", &[("a.log", "")]);
     assert_eq!(code, Some(2));
-    assert_eq!(told, "");
+    assert_eq!(stdout, "");
 }
 
 #[test]
@@ -63,10 +66,10 @@
         r#"{"time_ms":9,"node":"a","message":"request refused","request":"r1"}"#,
         "\n",
     );
-    let (code, told) = explain("r1", &[("a.log", log)]);
+    let (code, stdout) = explain("r1", &[("a.log", log)]);
     assert_eq!(code, Some(0));
-    let lines: Vec<&str> = told.lines().collect();
-    assert_eq!(lines.len(), 3, "{told}");
-    assert!(lines[0].contains("u2"), "{told}");
-    assert!(lines[1].contains("no longer"), "{told}");
+    let lines: Vec<&str> = stdout.lines().collect();
+    assert_eq!(lines.len(), 3, "{stdout}");
+    assert!(lines[0].contains("u2"), "{stdout}");
+    assert!(lines[1].contains("no longer"), "{stdout}");
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,7 @@
-//! The pages for operators agree with the code.
+//! Guards against operator documentation that disagrees with the code.
+//!
+//! The page on operations has to list every metric and every refusal code. A node has to answer the example calls of
+//! the page on administration as the page shows.
 
 use {
     dragonflystep::{
@@ -21,13 +24,13 @@
 const READ_KEY: &str = "pages-read-key-0001";
 const EDIT_KEY: &str = "pages-edit-key-0001";
 const PLATFORM_KEY: &str = "pages-platform-key";
-/// A node that has just started needs a while to read the platform and to take its group.
+/// Includes the time that a new node needs to read from the platform and to take its group.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(100);
 
 fn page(name: &str) -> String {
     let path = format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"));
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
 #[test]
@@ -68,7 +71,7 @@
     }
 }
 
-/// One call of the page with what it says of the answer.
+/// An example call of the page and the answer that the page shows for it.
 struct Example {
     method: Method,
     path: String,
@@ -78,13 +81,15 @@
     answer: Value,
 }
 
-/// The fenced blocks of a page: the words after the fence, and the text.
+/// Returns the fenced code blocks of a page, each as its info string and its text.
 fn blocks(page: &str) -> Vec<(String, String)> {
     let mut parts = page.split("\n```");
     parts.next();
     let mut blocks = Vec::new();
     while let (Some(block), Some(_)) = (parts.next(), parts.next()) {
-        let (words, text) = block.split_once('\n').expect("a block has lines");
+        let (words, text) = block
+            .split_once('\n')
+            .expect("a block has an info string and text");
         blocks.push((words.to_owned(), text.to_owned()));
     }
     blocks
@@ -97,7 +102,7 @@
         let document: Value = serde_json::from_str(&text).expect("an example is JSON");
         let words: Vec<_> = words.split(' ').collect();
         let ["json", method, path, role, status] = words[..] else {
-            panic!("a block without a call: {words:?}");
+            panic!("the info string of a block describes no call: {words:?}");
         };
         let (body, answer) = if method == "GET" {
             (None, document)
@@ -134,47 +139,52 @@
         let answer = call.send().await.expect("the node answers");
         let status = answer.status().as_u16();
         let text = answer.text().await.expect("the answer is whole");
-        (status, serde_json::from_str(&text).expect("it is JSON"))
+        (
+            status,
+            serde_json::from_str(&text).expect("the answer is JSON"),
+        )
     }
 
-    /// Whether an answer is what the page shows: what a node draws by itself may differ in value alone.
+    /// Returns true if the node's answer agrees with the page. Values that a node generates may differ.
     fn agrees(&self, status: u16, answer: &Value) -> bool {
         status == self.status && agrees("", &self.answer, answer)
     }
 
-    /// Whether the node may only need more time to give the answer.
-    fn may_come(&self, status: u16) -> bool {
+    /// Returns true if a repeated call can still give the expected answer.
+    fn may_succeed_later(&self, status: u16) -> bool {
         self.method == Method::GET || status == 503
     }
 }
 
-/// Values that no page can foretell.
-const DRAWN: [&str; 4] = ["incarnation", "started_at_s", "made_at_s", "silent_ms"];
+/// Numeric fields that each node generates, so the page can't show their value.
+const GENERATED_FIELDS: [&str; 4] = ["incarnation", "started_at_s", "made_at_s", "silent_ms"];
 
-fn agrees(name: &str, shown: &Value, told: &Value) -> bool {
-    match (shown, told) {
-        (Value::Object(shown), Value::Object(told)) => {
-            shown.len() == told.len()
+fn agrees(name: &str, shown: &Value, actual: &Value) -> bool {
+    match (shown, actual) {
+        (Value::Object(shown), Value::Object(actual)) => {
+            shown.len() == actual.len()
                 && shown.iter().all(|(name, value)| {
-                    told.get(name).is_some_and(|told| agrees(name, value, told))
+                    actual
+                        .get(name)
+                        .is_some_and(|actual| agrees(name, value, actual))
                 })
         }
-        (Value::Array(shown), Value::Array(told)) => {
-            // The page shows the first of a long list.
-            shown.is_empty() == told.is_empty()
+        (Value::Array(shown), Value::Array(actual)) => {
+            // The page may show only the first entries of a long list.
+            shown.is_empty() == actual.is_empty()
                 && shown
                     .iter()
-                    .zip(told)
-                    .all(|(shown, told)| agrees(name, shown, told))
+                    .zip(actual)
+                    .all(|(shown, actual)| agrees(name, shown, actual))
         }
-        (Value::Number(_), Value::Number(_)) if DRAWN.contains(&name) => true,
-        _ => shown == told,
+        (Value::Number(_), Value::Number(_)) if GENERATED_FIELDS.contains(&name) => true,
+        _ => shown == actual,
     }
 }
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("loopback has a free port");
-    listener.local_addr().expect("it is bound")
+    listener.local_addr().expect("the listener has an address")
 }
 
 fn settings(platform: SocketAddr) -> NodeSettings {
@@ -210,7 +220,7 @@
                 break;
             }
             assert!(
-                example.may_come(status) && started_at.elapsed() < ANSWER_TIMEOUT,
+                example.may_succeed_later(status) && started_at.elapsed() < ANSWER_TIMEOUT,
                 "{} {}: {status} {answer:#}\nthe page shows {} {:#}",
                 example.method,
                 example.path,
@@ -220,8 +230,9 @@
             sleep(ASK_AGAIN_AFTER).await;
         }
     }
-    let kept = history(&client, node.admin_address()).await;
-    let diff = CatalogueDiff::between(&kept, 1, 3).expect("the page makes three versions");
+    let changes = history(&client, node.admin_address()).await;
+    let diff = CatalogueDiff::between(&changes, 1, 3)
+        .expect("the examples of the page make three versions");
     let shown: String = diff
         .to_string()
         .lines()
@@ -236,10 +247,10 @@
 async fn history(client: &Client, node: SocketAddr) -> Vec<CatalogueChange> {
     let url = format!("http://{node}/admin/history?since=0");
     let answer = client.get(url).bearer_auth(READ_KEY).send().await;
-    let mut kept: Value = answer
+    let mut document: Value = answer
         .expect("the node answers")
         .json()
         .await
         .expect("the answer is JSON");
-    serde_json::from_value(kept["changes"].take()).expect("changes as nodes keep them")
+    serde_json::from_value(document["changes"].take()).expect("the history is a list of changes")
 }
--- a/tests/platform_outage.rs
+++ b/tests/platform_outage.rs
@@ -1,4 +1,8 @@
-//! The platform is out or loses answers: idempotent work goes on, non-idempotent work is refused truthfully.
+//! Guards against a platform outage that stops idempotent work or lets an order run twice.
+//!
+//! In a 9 s outage, idempotent requests must go on with a goodput of at least 98 %. Orders, which are not idempotent,
+//! must be refused within 2 s with the code `store_unavailable` and must not run. When the platform loses 30 % of its
+//! answers to writes, orders must run at most once.
 
 mod support;
 
@@ -7,22 +11,26 @@
     reqwest::Client,
     serde_json::json,
     std::time::{Duration, Instant},
-    support::{GENEROUS, Site, SiteSettings, ask, order_request, records_of, traffic, until},
+    support::{
+        CONDITION_TIMEOUT, Site, SiteSettings, order_request, records_of, send_request, traffic,
+        wait_for,
+    },
     tokio::time::sleep,
 };
 
-/// Longer than a lease and longer than the catalogue is trusted without a confirmation.
+/// Duration of the outage: longer than a lease, and longer than a node trusts its catalogue without a confirmation.
 const OUTAGE: Duration = Duration::from_secs(9);
-/// How long the nodes have been up when the outage begins.
-const UP_FOR: Duration = Duration::from_secs(15);
-const AT_ONCE: Duration = Duration::from_secs(2);
+/// Uptime of the nodes when the outage begins.
+const UPTIME_BEFORE_OUTAGE: Duration = Duration::from_secs(15);
+/// Longest time in which an order must be refused.
+const REFUSED_WITHIN: Duration = Duration::from_secs(2);
 const LEAST_GOODPUT: f64 = 0.98;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn idempotent_work_goes_on_and_orders_are_refused_at_once_while_the_platform_is_out() {
     let site = Site::start(SiteSettings::default()).await;
-    // A process that has just started vouches for no catalogue version, see `catalogue_sync::quorum`.
-    sleep(UP_FOR).await;
+    // A node that has just started confirms no catalogue version to other nodes, see `catalogue_sync::quorum`.
+    sleep(UPTIME_BEFORE_OUTAGE).await;
     let mut lookups = traffic(5, 480, 40.0);
     lookups.order_share = 0.0;
     let caller = site.caller(lookups);
@@ -30,7 +38,7 @@
     sleep(Duration::from_secs(1)).await;
     site.platform
         .control
-        .order("/faults", &json!({"down": true}))
+        .command("/faults", &json!({"down": true}))
         .await;
     let client = Client::builder().no_proxy().build().expect("a client");
     let down_at = Instant::now();
@@ -39,7 +47,7 @@
         let node = &site.nodes[orders.len() % site.nodes.len()];
         let body = format!("an order in the outage, {}", orders.len());
         let asked_at = Instant::now();
-        let answer = ask(order_request(
+        let answer = send_request(order_request(
             &client,
             node.caller_address,
             &body.replace([' ', ','], "-"),
@@ -51,20 +59,20 @@
     }
     site.platform
         .control
-        .order("/faults", &json!({"clear": true}))
+        .command("/faults", &json!({"clear": true}))
         .await;
     let report = running.await.expect("the caller does not panic");
 
     let records = records_of(&site).await;
     for (body, answer, took) in &orders {
-        let answer = answer.as_ref().expect("the connection holds");
+        let answer = answer.as_ref().expect("the connection does not break");
         let refusal = answer
             .refusal()
             .unwrap_or_else(|| panic!("no refusal: {answer:?}"));
-        let told = (refusal.code.as_str(), refusal.ran.as_str());
-        let truth = ("store_unavailable", "no");
-        assert_eq!(told, truth, "{body} after {took:?}: {refusal:?}");
-        assert!(*took <= AT_ONCE, "refused after {took:?}");
+        let actual = (refusal.code.as_str(), refusal.ran.as_str());
+        let expected = ("store_unavailable", "no");
+        assert_eq!(actual, expected, "{body} after {took:?}: {refusal:?}");
+        assert!(*took <= REFUSED_WITHIN, "refused after {took:?}");
         let runs: u32 = records
             .services
             .iter()
@@ -83,11 +91,11 @@
         "goodput {goodput}: {:?}",
         support::incomplete(&report)
     );
-    records.assert_promises(&report);
+    records.assert_guarantees(&report);
     records.assert_limits(site.settings.running_requests);
-    until("orders run again", GENEROUS, || async {
+    wait_for("an order succeeds again", CONDITION_TIMEOUT, || async {
         let key = format!("after-{}", support::unix_ms());
-        let answer = ask(order_request(
+        let answer = send_request(order_request(
             &client,
             site.nodes[0].caller_address,
             &key,
@@ -103,12 +111,12 @@
 async fn orders_run_at_most_once_while_answers_of_the_platform_are_lost() {
     let site = Site::start(SiteSettings::default()).await;
     let lose = json!({"lose_answers": {"share": 0.3, "seed": 6}});
-    site.platform.control.order("/faults", &lose).await;
+    site.platform.control.command("/faults", &lose).await;
     let mut orders = traffic(6, 300, 30.0);
     orders.order_share = 0.8;
     let report = site.caller(orders).run().await;
     let records = records_of(&site).await;
-    records.assert_promises(&report);
+    records.assert_guarantees(&report);
     let most = records
         .services
         .iter()
@@ -119,5 +127,8 @@
     let complete = ran
         .filter(|result| result.outcome == RequestOutcome::Complete)
         .count();
-    assert!(complete > 100, "only {complete} orders were answered");
+    assert!(
+        complete > 100,
+        "only {complete} orders were answered completely"
+    );
 }
--- a/tests/proof_page.rs
+++ b/tests/proof_page.rs
@@ -1,4 +1,6 @@
-//! The page on proofs names only tests that exist.
+//! Guards against names of tests on the page on proofs that no longer exist in the code.
+//!
+//! The test collects the names in backticks on the page and looks for a test file or function of each name.
 
 use std::{
     collections::BTreeSet,
@@ -6,15 +8,15 @@
     path::{Path, PathBuf},
 };
 
-/// Stands in the page where a long name is cut.
-const CUT: char = '…';
+/// Replaces the middle part of a long name on the page.
+const ELLIPSIS: char = '…';
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).to_owned()
 }
 
-fn test_files(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
+fn test_files(directory: &Path, found: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(directory).into_iter().flatten().flatten() {
         let path = entry.path();
         if path.is_dir() {
             test_files(&path, found);
@@ -24,12 +26,12 @@
     }
 }
 
-/// Names of all functions and files of tests.
+/// Returns the names of all files below the `tests` directories and of the functions in them.
 fn known_names() -> BTreeSet<String> {
     let mut files = Vec::new();
     test_files(&root().join("tests"), &mut files);
     for entry in fs::read_dir(root().join("crates"))
-        .expect("the folder of crates")
+        .expect("the directory of crates can be read")
         .flatten()
     {
         test_files(&entry.path().join("tests"), &mut files);
@@ -42,7 +44,7 @@
             .to_string_lossy()
             .into_owned();
         names.insert(stem);
-        let text = fs::read_to_string(&file).expect("a readable file");
+        let text = fs::read_to_string(&file).expect("the file can be read");
         for line in text.lines().filter_map(|line| line.split("fn ").nth(1)) {
             names.insert(line.split('(').next().unwrap_or_default().to_owned());
         }
@@ -50,7 +52,7 @@
     names
 }
 
-/// Names in backticks that look like a test: several words in lower case.
+/// Returns the names in backticks that look like a test: at least three words in lower case, joined by underscores.
 fn claimed_names(page: &str) -> Vec<String> {
     page.split('`')
         .skip(1)
@@ -58,14 +60,14 @@
         .filter(|name| name.matches('_').count() >= 2)
         .filter(|name| {
             name.chars()
-                .all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_' || c == CUT)
+                .all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_' || c == ELLIPSIS)
         })
         .map(str::to_owned)
         .collect()
 }
 
-fn stands_for(claimed: &str, known: &str) -> bool {
-    match claimed.split_once(CUT) {
+fn matches_name(claimed: &str, known: &str) -> bool {
+    match claimed.split_once(ELLIPSIS) {
         Some((start, end)) => known.starts_with(start) && known.ends_with(end),
         None => claimed == known,
     }
@@ -73,7 +75,7 @@
 
 #[test]
 fn every_test_on_the_page_exists() {
-    let page = fs::read_to_string(root().join("docs/PROOF.md")).expect("the page");
+    let page = fs::read_to_string(root().join("docs/PROOF.md")).expect("the page can be read");
     let known = known_names();
     let claimed = claimed_names(&page);
     assert!(
@@ -83,7 +85,7 @@
     );
     let missing: Vec<_> = claimed
         .iter()
-        .filter(|name| !known.iter().any(|known| stands_for(name, known)))
+        .filter(|name| !known.iter().any(|known| matches_name(name, known)))
         .collect();
     assert!(missing.is_empty(), "no such tests: {missing:#?}");
 }
--- a/tests/same_key.rs
+++ b/tests/same_key.rs
@@ -1,4 +1,8 @@
-//! The same idempotency key through several entries: at most one dispatch, whatever dies meanwhile.
+//! Guards against a second dispatch of a request that reaches several nodes with the same idempotency key.
+//!
+//! The tests send the same order or prompt through all nodes at once, and repeat an order that was refused in a
+//! platform outage. They also kill a node 5, 60, 200 or 700 ms after it was sent an order, and repeat the order through
+//! the other nodes. Each order or prompt must run at most once.
 
 mod support;
 
@@ -8,8 +12,8 @@
     serde_json::json,
     std::time::{Duration, Instant},
     support::{
-        Answer, GENEROUS, Records, Site, SiteSettings, ask, order_request, prompt_request,
-        records_of, until,
+        Answer, CONDITION_TIMEOUT, Records, Site, SiteSettings, order_request, prompt_request,
+        records_of, send_request, wait_for,
     },
     tokio::time::sleep,
 };
@@ -29,9 +33,9 @@
     runs.sum()
 }
 
-async fn order(site: &Site, place: usize, key: &str) -> Option<Answer> {
-    let entry = site.nodes[place].caller_address;
-    ask(order_request(
+async fn order(site: &Site, index: usize, key: &str) -> Option<Answer> {
+    let entry = site.nodes[index].caller_address;
+    send_request(order_request(
         &client(),
         entry,
         key,
@@ -45,15 +49,15 @@
     let site = Site::start(SiteSettings::default()).await;
     for round in 0..10 {
         let key = format!("at-once-{round}");
-        let sent = (0..site.nodes.len()).map(|place| order(&site, place, &key));
+        let sent = (0..site.nodes.len()).map(|index| order(&site, index, &key));
         let answers: Vec<Answer> = join_all(sent).await.into_iter().flatten().collect();
-        assert_eq!(answers.len(), site.nodes.len(), "every entry answers");
+        assert_eq!(answers.len(), site.nodes.len(), "not every node answered");
         let complete = answers.iter().filter(|answer| answer.status.is_success());
         assert_eq!(complete.count(), 1, "{answers:?}");
         for answer in answers.iter().filter(|answer| !answer.status.is_success()) {
             let refusal = answer.refusal().expect("a refusal");
-            let told = ["in_progress", "already_ran"].contains(&refusal.code.as_str());
-            assert!(told, "{refusal:?}");
+            let is_expected = ["in_progress", "already_ran"].contains(&refusal.code.as_str());
+            assert!(is_expected, "{refusal:?}");
         }
         let again = order(&site, round % site.nodes.len(), &key)
             .await
@@ -78,7 +82,7 @@
         let sent = site
             .nodes
             .iter()
-            .map(|node| ask(prompt_request(&client, node.caller_address, &key, &key, 40)));
+            .map(|node| send_request(prompt_request(&client, node.caller_address, &key, &key, 40)));
         let answers: Vec<Answer> = join_all(sent).await.into_iter().flatten().collect();
         let whole = answers.iter().filter(|answer| answer.is_whole_stream());
         assert_eq!(whole.count(), 1, "{answers:?}");
@@ -92,14 +96,17 @@
     assert_eq!(dispatches, 10);
 }
 
-/// Sends an order again through the second and the third entry by turns, until one of them knows what became of it.
+/// Sends an order again, alternately through the second and the third node, until one runs it or answers `already_ran`.
 async fn send_until_final(site: &Site, key: &str) -> Vec<Answer> {
     let began = Instant::now();
     let mut answers = Vec::new();
     loop {
-        assert!(began.elapsed() < GENEROUS, "no final answer: {answers:?}");
+        assert!(
+            began.elapsed() < CONDITION_TIMEOUT,
+            "no final answer: {answers:?}"
+        );
         let answer = order(site, 1 + answers.len() % 2, key).await;
-        let answer = answer.expect("the others are alive");
+        let answer = answer.expect("the other nodes answer");
         let refusal = answer.refusal();
         answers.push(answer);
         if refusal.is_none_or(|refusal| refusal.code == "already_ran") {
@@ -120,16 +127,22 @@
         let key = format!("killed-after-{kill_after_ms}");
         let body = format!("order {key}");
         let entry = site.nodes[0].caller_address;
-        let first = tokio::spawn(ask(order_request(&client(), entry, &key, &body)));
+        let first = tokio::spawn(send_request(order_request(&client(), entry, &key, &body)));
         sleep(Duration::from_millis(kill_after_ms)).await;
         site.nodes[0].process.kill();
-        let first = first.await.expect("asking does not panic");
+        let first = first.await.expect("sending the request does not panic");
         let answers = send_until_final(&site, &key).await;
         let runs = runs_of(&records_of(&site).await, &body);
-        assert!(runs <= 1, "it ran {runs} times: {first:?} {answers:?}");
+        assert!(
+            runs <= 1,
+            "the order ran {runs} times: {first:?} {answers:?}"
+        );
         let complete = first.iter().chain(&answers);
         let complete = complete.filter(|answer| answer.status.is_success()).count();
-        assert!(complete <= 1, "answered {complete} times");
+        assert!(
+            complete <= 1,
+            "the order was answered with success {complete} times"
+        );
     }
 }
 
@@ -138,9 +151,9 @@
     let site = Site::start(SiteSettings::default()).await;
     site.platform
         .control
-        .order("/faults", &json!({"down": true}))
+        .command("/faults", &json!({"down": true}))
         .await;
-    let refusal = until("a refusal for the store", GENEROUS, || async {
+    let refusal = wait_for("the node refuses the order", CONDITION_TIMEOUT, || async {
         order(&site, 0, "again").await?.refusal()
     })
     .await
@@ -148,9 +161,9 @@
     assert_eq!(refusal.ran, "no", "{refusal:?}");
     site.platform
         .control
-        .order("/faults", &json!({"clear": true}))
+        .command("/faults", &json!({"clear": true}))
         .await;
-    until("the order runs", GENEROUS, || async {
+    wait_for("the order succeeds", CONDITION_TIMEOUT, || async {
         let answer = order(&site, 1, "again").await?;
         answer.status.is_success().then_some(())
     })
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,13 +1,15 @@
-//! A short run of the soak with a fixed seed, and the seeds that ever broke a promise.
+//! Guards against violations of the guarantees under random faults that come from outside the nodes.
+//!
+//! Runs the `soak` command with three fixed seeds.
 
 use std::process::Command;
 
-/// Seeds that are run: one with planned work only (3), one with faults of all kinds (8), and those that ever broke a
-/// promise: 7, two owners beside each other that both counted themselves to the majority (quota exceeded).
+/// Seeds of the runs. Seed 3 has planned work only, seed 8 has faults of all kinds. Seed 7 guards against two owners at
+/// the same time that both count themselves as part of the majority, so that a quota is exceeded.
 const SEEDS: [&str; 3] = ["3", "7", "8"];
 
 #[test]
-fn nodes_keep_their_promises_under_faults_from_outside() {
+fn guarantees_hold_under_faults_from_outside() {
     let running: Vec<_> = SEEDS
         .map(|seed| {
             Command::new(env!("CARGO_BIN_EXE_dragonflystep"))
--- a/tests/support/callers.rs
+++ b/tests/support/callers.rs
@@ -1,4 +1,4 @@
-//! Traffic, and single requests to a chosen entry.
+//! Generated traffic, and single requests to a chosen node.
 
 use {
     super::{ACCOUNT_KEY, MODEL, MODEL_SERVICE, PLAIN_SERVICE},
@@ -8,7 +8,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Mixed traffic of two tiers with short answers.
+/// Settings for mixed traffic of two tiers with short answers: completions, idempotent calls and orders.
 pub fn traffic(seed: u64, requests: u32, requests_per_s: f64) -> TrafficSettings {
     let tier = |name: &str, weight| CallerTier {
         name: name.to_owned(),
@@ -30,17 +30,17 @@
     }
 }
 
-/// What a single request gave.
+/// The response to a single request.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The whole body.
+    /// Complete body: JSON, or the text of an event stream.
     pub body: String,
 }
 
 impl Answer {
-    /// The refusal, or the failure within a stream.
+    /// Returns the refusal in the body or in the stream's error event, or `None` if the answer has neither.
     pub fn refusal(&self) -> Option<Refusal> {
         let event = self.body.split("event: error").nth(1);
         let data = event.and_then(|event| event.split("data:").nth(1));
@@ -48,7 +48,7 @@
         Refusal::parse(data.unwrap_or(&self.body).trim())
     }
 
-    /// Whether a stream ended as a whole one.
+    /// Returns true if the request succeeded and the event stream ended with its `[DONE]` marker.
     pub fn is_whole_stream(&self) -> bool {
         self.status.is_success() && self.body.trim_end().ends_with("data: [DONE]")
     }
@@ -63,7 +63,7 @@
         .header("Idempotency-Key", key)
 }
 
-/// A streamed completion.
+/// Builds a request for a streamed completion of `prompt` with at most `tokens` output tokens.
 pub fn prompt_request(
     client: &Client,
     entry: SocketAddr,
@@ -81,15 +81,15 @@
     .json(&body)
 }
 
-/// An order that must run at most once.
+/// Builds an order: a non-idempotent request to the plain service, which must run at most once.
 pub fn order_request(client: &Client, entry: SocketAddr, key: &str, body: &str) -> RequestBuilder {
     request(client, entry, &format!("{PLAIN_SERVICE}/orders"), key)
         .header("X-Idempotent", "false")
         .body(body.to_owned())
 }
 
-/// Sends a request and reads its answer to the end; none when the connection broke.
-pub async fn ask(request: RequestBuilder) -> Option<Answer> {
+/// Sends a request and reads the complete answer. Returns `None` if the connection breaks or 25 s pass.
+pub async fn send_request(request: RequestBuilder) -> Option<Answer> {
     let answer = request.timeout(Duration::from_secs(25)).send().await.ok()?;
     let status = answer.status();
     let body = answer.text().await.ok()?;
--- a/tests/support/control.rs
+++ b/tests/support/control.rs
@@ -1,7 +1,7 @@
-//! Orders to the stand-ins, and their records.
+//! Client for the control endpoint of a stand-in: injects faults and reads records.
 
 use {
-    super::{GENEROUS, until},
+    super::{CONDITION_TIMEOUT, wait_for},
     reqwest::Client,
     serde::de::DeserializeOwned,
     serde_json::Value,
@@ -10,10 +10,10 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time in which an order that silences its own connection has surely arrived.
+/// Timeout of a command that silences its own connection: long enough for the command to arrive.
 const SILENCED_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Drives one stand-in; each call has a connection of its own, since faults silence the open ones.
+/// Controls one stand-in. Each call opens its own connection, because faults can silence open connections.
 #[derive(Debug, Clone)]
 pub struct Control {
     address: SocketAddr,
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// Control of the stand-in at `address`.
+    /// Creates a client for the control endpoint at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::builder()
             .no_proxy()
@@ -34,30 +34,41 @@
         }
     }
 
-    /// Gives an order, such as a fault.
-    pub async fn order(&self, path: &str, order: &Value) {
+    /// Sends a command, such as a fault, and retries until the stand-in accepts it.
+    pub async fn command(&self, path: &str, command: &Value) {
         let url = format!("http://{}{path}", self.address);
-        if order["fault"] == "silence_existing" {
-            // The order silences its own connection as well, so that its answer never comes.
-            let call = self.client.post(&url).json(order);
+        if command["fault"] == "silence_existing" {
+            // The command silences its own connection too, so no answer ever arrives.
+            let call = self.client.post(&url).json(command);
             let _ = call.timeout(SILENCED_TIMEOUT).send().await;
             return;
         }
-        until("the order to a stand-in", GENEROUS, || async {
-            let answer = self.client.post(&url).json(order).send().await.ok()?;
-            assert!(answer.status().is_success(), "{order} is no order");
-            Some(())
-        })
+        wait_for(
+            "a stand-in accepts a command",
+            CONDITION_TIMEOUT,
+            || async {
+                let answer = self.client.post(&url).json(command).send().await.ok()?;
+                assert!(
+                    answer.status().is_success(),
+                    "the stand-in rejects the command {command}"
+                );
+                Some(())
+            },
+        )
         .await;
     }
 
-    /// What the stand-in recorded.
+    /// Fetches the records of the stand-in.
     pub async fn records<T: DeserializeOwned>(&self) -> T {
         let url = format!("http://{}/records", self.address);
-        until("the records of a stand-in", GENEROUS, || async {
-            let answer = self.client.get(&url).send().await.ok()?;
-            answer.json().await.ok()
-        })
+        wait_for(
+            "a stand-in returns its records",
+            CONDITION_TIMEOUT,
+            || async {
+                let answer = self.client.get(&url).send().await.ok()?;
+                answer.json().await.ok()
+            },
+        )
         .await
         .0
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! A whole system of separate processes on loopback, for the proofs beside this directory.
+//! Runs a complete system as separate processes on loopback, for the end-to-end tests in the parent directory.
 //!
-//! Each test process listens on a loopback address of its own, so that a port which a node gave up can't be taken by an
-//! outgoing connection of another program before the node listens there again.
+//! Each test process listens on its own loopback address. Otherwise an outgoing connection of another program could
+//! take the port of a stopped node before the node restarts and listens there again.
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "Each test file uses its own part of the support."
+    reason = "Each test file uses only some of these helpers."
 )]
 
 mod callers;
@@ -17,9 +17,9 @@
 mod verdict;
 
 pub use {
-    callers::{Answer, ask, order_request, prompt_request, traffic},
+    callers::{Answer, order_request, prompt_request, send_request, traffic},
     control::Control,
-    operators::Operators,
+    operators::AdminClient,
     process::{Process, loopback_address},
     site::{
         ACCOUNT_KEY, EDIT_KEY, MODEL, MODEL_SERVICE, NodeProcess, PLAIN_SERVICE, READ_KEY, Site,
@@ -33,32 +33,41 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// Longest wait for a condition that holds within a second or two on an idle machine.
-pub const GENEROUS: Duration = Duration::from_secs(30);
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for conditions that take a second or two on an idle machine; leaves room for a busy one.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until `look` gives something, and gives it with the time that it took.
+/// Polls `check` until it returns a value, and returns that value with the time waited.
+///
+/// `what` describes the awaited condition in the panic message.
 ///
 /// # Panics
 ///
-/// When it gives nothing within `limit`.
-pub async fn until<T, F>(what: &str, limit: Duration, mut look: impl FnMut() -> F) -> (T, Duration)
+/// Panics if `check` returns no value within `limit`.
+pub async fn wait_for<T, F>(
+    what: &str,
+    limit: Duration,
+    mut check: impl FnMut() -> F,
+) -> (T, Duration)
 where
     F: Future<Output = Option<T>>,
 {
     let began = Instant::now();
     loop {
-        if let Some(found) = look().await {
-            return (found, began.elapsed());
+        if let Some(value) = check().await {
+            return (value, began.elapsed());
         }
-        assert!(began.elapsed() < limit, "not seen within {limit:?}: {what}");
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        assert!(
+            began.elapsed() < limit,
+            "timed out after {limit:?} waiting for: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Milliseconds of the machine's clock, as in the records of the stand-ins.
+/// Returns the current Unix time in milliseconds, the clock that the records of the stand-ins use.
 pub fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let now = now.expect("the machine's clock is after 1970");
-    u64::try_from(now.as_millis()).expect("the time fits for millions of years")
+    let now = now.expect("the system clock is set to a time after 1970");
+    u64::try_from(now.as_millis()).expect("milliseconds since 1970 fit into a u64")
 }
--- a/tests/support/operators.rs
+++ b/tests/support/operators.rs
@@ -1,7 +1,7 @@
-//! Calls to the administration API.
+//! Client for the administration API of a node.
 
 use {
-    super::{EDIT_KEY, GENEROUS, READ_KEY, until},
+    super::{CONDITION_TIMEOUT, EDIT_KEY, READ_KEY, wait_for},
     dragonflystep::{config::CatalogueDocument, core::catalogue::Catalogue},
     reqwest::{Client, StatusCode},
     serde_json::{Value, json},
@@ -14,15 +14,15 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An operator at one node.
+/// Client for the administration API of one node, with the read key and the edit key.
 #[derive(Debug, Clone)]
-pub struct Operators {
+pub struct AdminClient {
     address: SocketAddr,
     client: Client,
 }
 
-impl Operators {
-    /// An operator at the administration address of a node.
+impl AdminClient {
+    /// Creates a client for the administration API at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let client = Client::builder()
             .no_proxy()
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A page; none when the node does not answer.
+    /// Fetches a JSON document. Returns `None` on a connection error, an error status or a body that is not JSON.
     pub async fn get(&self, path: &str) -> Option<Value> {
         let url = format!("http://{}{path}", self.address);
         let call = self.client.get(url).bearer_auth(READ_KEY);
@@ -43,17 +43,17 @@
         answer.error_for_status().ok()?.json().await.ok()
     }
 
-    /// The catalogue in force.
+    /// Returns the catalogue in force on this node, or `None` if the node does not answer.
     pub async fn catalogue(&self) -> Option<Catalogue> {
         serde_json::from_value(self.get("/admin/catalogue").await?).ok()
     }
 
-    /// Version in force on this very node; none when it does not answer.
+    /// Returns the catalogue version in force on this node, or `None` if the node does not answer.
     pub async fn version(&self) -> Option<u64> {
         self.get("/admin/catalogue").await?["version"].as_u64()
     }
 
-    /// Holder of each group as this node knows it: group, holder and epoch.
+    /// Returns each group with its holder and epoch, as known to this node. Empty if the node does not answer.
     pub async fn holders(&self) -> Vec<(String, Option<String>, u64)> {
         let status = self.get("/admin/status").await.unwrap_or_default();
         let groups = status["groups"].as_array().cloned().unwrap_or_default();
@@ -65,7 +65,7 @@
         groups.iter().map(holder).collect()
     }
 
-    /// Sends a change once.
+    /// Sends one catalogue change without retrying. Returns the status and the answer, or `None` on a connection error.
     pub async fn change(
         &self,
         based_on: u64,
@@ -84,14 +84,15 @@
         Some((status, answer.json().await.ok()?))
     }
 
-    /// Makes the catalogue equal to a document and gives its version; comes back until the node accepts it.
+    /// Changes the catalogue to match `document`, retrying until the node accepts it, and returns the resulting
+    /// version.
     pub async fn apply(&self, document: &Value) -> u64 {
         let document = CatalogueDocument::parse(&document.to_string());
-        let document = document.expect("the proofs write good documents");
+        let document = document.expect("the tests write valid documents");
         let token = token();
-        until("an accepted change", GENEROUS, || async {
+        wait_for("the node accepts the catalogue change", CONDITION_TIMEOUT, || async {
             let current = self.catalogue().await?;
-            let edits = document.edits_against(&current).expect("no faults");
+            let edits = document.edits_against(&current).expect("the document has no faults");
             if edits.is_empty() {
                 return Some(current.version);
             }
@@ -106,7 +107,7 @@
     }
 }
 
-/// A text that no other call uses.
+/// Returns a token that no other change uses. A retried change keeps its token.
 fn token() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,7 +1,7 @@
-//! One child process; it ends with its handle.
+//! A child process that is killed when its handle is dropped.
 
 use {
-    super::until,
+    super::wait_for,
     rustix::process::{Pid, Signal, kill_process},
     std::{
         fs::File,
@@ -21,14 +21,14 @@
 }
 
 impl Process {
-    /// Starts the binary; standard error goes to the end of `log`.
+    /// Starts the binary and appends its standard error to `log`.
     pub fn start(arguments: &[&str], log: &Path) -> Self {
         let errors = File::options().create(true).append(true).open(log);
         let child = Command::new(binary())
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
-            .stderr(errors.expect("a log can be opened in the own directory"))
+            .stderr(errors.expect("the log file can be opened in the test directory"))
             .spawn();
         Self {
             child: child.expect("the built binary starts"),
@@ -36,48 +36,56 @@
         }
     }
 
-    /// The address that a stand-in tells on its first line.
+    /// Reads the two addresses that a stand-in prints when it starts.
     ///
-    /// The second address is the one for faults and records.
-    pub fn told_addresses(&mut self) -> [SocketAddr; 2] {
+    /// The first address serves requests; the second one takes faults and serves records.
+    pub fn read_addresses(&mut self) -> [SocketAddr; 2] {
         let stdout = self.child.stdout.take();
-        let mut lines = BufReader::new(stdout.expect("the addresses are asked for once"));
+        let mut lines = BufReader::new(stdout.expect("the addresses are read only once"));
         ["listening on ", "control on "].map(|prefix| {
             let mut line = String::new();
             lines
                 .read_line(&mut line)
-                .expect("a stand-in tells its addresses");
+                .expect("a stand-in prints its addresses");
             let address = line.trim().strip_prefix(prefix);
             let address = address.and_then(|address| address.parse().ok());
-            address.unwrap_or_else(|| panic!("no address in {line:?}; {}", self.errors()))
+            address.unwrap_or_else(|| panic!("no address in {line:?}; stderr: {}", self.stderr()))
         })
     }
 
-    /// Sends a signal to this very process.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        kill_process(pid, signal).expect("a child that was not waited for takes signals");
+        kill_process(pid, signal).expect("a child process that was not reaped can be signalled");
     }
 
-    /// Ends the process at once, as a crash would.
+    /// Kills the process without a shutdown, as in a crash, and reaps it.
     pub fn kill(&mut self) {
-        // A child that has ended already is what is wanted.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
-        self.child.wait().expect("a killed child can be waited for");
+        self.child
+            .wait()
+            .expect("a killed child process can be reaped");
     }
 
-    /// Waits until the process has ended by itself.
-    pub async fn ended(&mut self, limit: Duration) -> ExitStatus {
+    /// Waits until the process exits by itself.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the process is still running after `limit`.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> ExitStatus {
         let child = &mut self.child;
-        let look = || {
-            let ended = child.try_wait().expect("a child can be asked for its end");
-            async move { ended }
+        let check = || {
+            let status = child
+                .try_wait()
+                .expect("the state of a child process can be read");
+            async move { status }
         };
-        until("the end of a process", limit, look).await.0
+        wait_for("the process exits", limit, check).await.0
     }
 
-    /// All that it wrote to standard error.
-    pub fn errors(&self) -> String {
+    /// Returns everything written to the log, including the output of earlier processes with the same log.
+    pub fn stderr(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
@@ -89,26 +97,28 @@
     }
 }
 
-/// An address on loopback whose port was free a moment ago.
+/// Returns an address with a free port on this process's loopback IP. The port is released before the return.
 pub fn loopback_address() -> SocketAddr {
-    let listener = TcpListener::bind((own_ip(), 0)).expect("loopback has free ports");
+    let listener =
+        TcpListener::bind((process_ip(), 0)).expect("the loopback interface has a free port");
     listener.local_addr().expect("a listener has an address")
 }
 
-/// A loopback address of this process alone; outgoing connections come from 127.0.0.1.
-fn own_ip() -> Ipv4Addr {
+/// Returns a loopback IP derived from the process id. It is never 127.0.0.1, the source of outgoing connections.
+fn process_ip() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 1 + high % 250, middle, low.clamp(1, 254))
 }
 
-/// The binary under test; an example finds it two directories above itself.
+/// Returns the path of the binary under test. Examples have no Cargo variable for it and look in the parent directory
+/// of their own directory.
 fn binary() -> PathBuf {
     if let Some(path) = option_env!("CARGO_BIN_EXE_dragonflystep") {
         return path.into();
     }
-    let own = std::env::current_exe().expect("a process knows its file");
-    let directory = own.parent().and_then(Path::parent);
+    let executable = std::env::current_exe().expect("the path of the running executable is known");
+    let directory = executable.parent().and_then(Path::parent);
     directory
-        .expect("an example lies in target/<profile>/examples")
+        .expect("examples are built in target/<profile>/examples")
         .join("dragonflystep")
 }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -1,7 +1,7 @@
-//! A platform, upstreams and nodes, each a process of its own.
+//! Starts a platform stand-in, upstream stand-ins and nodes, each as a separate process.
 
 use {
-    super::{Control, GENEROUS, Operators, Process, loopback_address, until},
+    super::{AdminClient, CONDITION_TIMEOUT, Control, Process, loopback_address, wait_for},
     dragonflystep::fakes::caller::{CallerSettings, LoadClient, TrafficSettings},
     serde_json::{Value, json},
     sha2::{Digest, Sha256},
@@ -15,44 +15,44 @@
     tokio::sync::{Mutex, MutexGuard},
 };
 
-/// Service of the engines.
+/// Id of the service that the engines serve.
 pub const MODEL_SERVICE: &str = "assistant";
-/// Model that the engines serve.
+/// Name of the model that the engines serve.
 pub const MODEL: &str = "proof-model";
-/// Service of the plain workers.
+/// Id of the service that the plain upstreams serve.
 pub const PLAIN_SERVICE: &str = "ledger";
-/// Key of the client account.
+/// API key of the client account.
 pub const ACCOUNT_KEY: &str = "proof-account-key-1";
-/// Key of operators who look.
+/// Administration key that permits reading only.
 pub const READ_KEY: &str = "proof-read-key-0001";
-/// Key of operators who change.
+/// Administration key that permits changes.
 pub const EDIT_KEY: &str = "proof-edit-key-0001";
 const PLATFORM_KEY: &str = "proof-platform-key-1";
 const MESH_KEY: &str = "proof-mesh-key-0001";
 
-/// One site at a time: ports, load and times of one proof don't disturb another.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::const_new(());
+/// Lets one site run at a time, so that tests don't compete for ports and CPU time or distort each other's timing.
+static SITE_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// What a site has.
+/// Size and limits of a site.
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Data centres, over which the nodes are spread in turns; the upstreams stand in the first.
+    /// Number of data centres, at most four. Nodes are assigned round-robin; all upstreams are in the first.
     pub data_centres: usize,
-    /// Engines.
+    /// Number of engine stand-ins.
     pub engines: usize,
-    /// Engines in a group.
+    /// Number of engines in a group.
     pub engines_per_group: usize,
-    /// Plain workers.
+    /// Number of plain upstreams.
     pub services: usize,
-    /// Most requests that run at one upstream.
+    /// Limit of concurrently running requests per upstream.
     pub running_requests: u32,
-    /// Milliseconds of an engine's decode step.
+    /// Duration of an engine's decode step, in milliseconds.
     pub decode_step_ms: u32,
-    /// Milliseconds of a plain call.
+    /// Duration of a call to a plain upstream, in milliseconds.
     pub latency_ms: u32,
-    /// The field `tuning` of the nodes' settings.
+    /// Value of the field `tuning` in the settings of every node.
     pub tuning: Value,
 }
 
@@ -72,75 +72,75 @@
     }
 }
 
-/// A stand-in as a process.
+/// A stand-in for the platform or an upstream, running as a process.
 #[derive(Debug)]
 pub struct StandIn {
-    /// The process.
+    /// Handle that kills the process when dropped.
     pub process: Process,
-    /// Where it answers.
+    /// Address on which it serves requests.
     pub address: SocketAddr,
-    /// Orders and records.
+    /// Client for injecting faults and reading records.
     pub control: Control,
 }
 
-/// A node as a process.
+/// A node running as a process.
 #[derive(Debug)]
 pub struct NodeProcess {
-    /// Name.
+    /// Name in the node's settings, `entry-1` and up.
     pub name: String,
-    /// The process.
+    /// Handle of the current process; a restart replaces it.
     pub process: Process,
-    /// Where callers reach it.
+    /// Address on which it serves callers.
     pub caller_address: SocketAddr,
-    /// Its administration API.
-    pub operators: Operators,
+    /// Client for the node's administration API.
+    pub admin: AdminClient,
     settings: PathBuf,
     log: PathBuf,
 }
 
 impl NodeProcess {
-    /// Starts the node anew with the same settings.
+    /// Starts the node again with the same settings. The previous process must have ended and freed its ports.
     pub fn restart(&mut self) {
         self.process = start_node(&self.settings, &self.log);
     }
 
-    /// Path of its settings.
+    /// Path of the node's settings file.
     pub fn settings_path(&self) -> &PathBuf {
         &self.settings
     }
 }
 
-/// Everything that one proof started; it all ends with this.
+/// All processes and files of one test. Dropping it ends the processes and removes the files.
 #[derive(Debug)]
 pub struct Site {
-    /// Nodes.
+    /// The nodes, in the order of their numbers.
     pub nodes: Vec<NodeProcess>,
-    /// Engines.
+    /// Engine stand-ins; `engine-0` in the catalogue is the first.
     pub engines: Vec<StandIn>,
-    /// Plain workers.
+    /// Plain upstreams; `ledger-0` in the catalogue is the first.
     pub services: Vec<StandIn>,
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: StandIn,
-    /// What was asked for.
+    /// Settings that the site was started with.
     pub settings: SiteSettings,
-    /// Files of this site.
+    /// Settings and logs of the processes; kept when `DRAGONFLYSTEP_KEEP_LOGS` is set.
     pub directory: TempDir,
-    _alone: MutexGuard<'static, ()>,
+    _site_guard: MutexGuard<'static, ()>,
 }
 
 impl Site {
-    /// Starts everything, applies the catalogue and waits until every group has a broker.
+    /// Starts all processes, applies the catalogue and waits until every group has a broker.
     pub async fn start(settings: SiteSettings) -> Self {
         let site = Self::start_without_catalogue(settings).await;
-        site.nodes[0].operators.apply(&site.catalogue()).await;
+        site.nodes[0].admin.apply(&site.catalogue()).await;
         site.wait_until_ready().await;
         site
     }
 
-    /// Starts everything, and applies no catalogue.
+    /// Starts all processes without applying a catalogue.
     pub async fn start_without_catalogue(settings: SiteSettings) -> Self {
-        let alone = ONE_AT_A_TIME.lock().await;
-        let mut directory = TempDir::new().expect("a directory for temporary files");
+        let site_guard = SITE_LOCK.lock().await;
+        let mut directory = TempDir::new().expect("a temporary directory can be created");
         if std::env::var_os("DRAGONFLYSTEP_KEEP_LOGS").is_some() {
             directory.disable_cleanup(true);
         }
@@ -152,7 +152,7 @@
             platform,
             settings,
             directory,
-            _alone: alone,
+            _site_guard: site_guard,
         };
         site.start_upstreams();
         for number in 0..site.settings.nodes {
@@ -193,25 +193,25 @@
             "tuning": self.settings.tuning,
         });
         let path = self.directory.path().join(format!("{name}.json"));
-        fs::write(&path, settings.to_string()).expect("the own directory can be written");
+        fs::write(&path, settings.to_string()).expect("the test directory is writable");
         let log = self.directory.path().join(format!("{name}.log"));
         self.nodes.push(NodeProcess {
             name,
             process: start_node(&path, &log),
             caller_address,
-            operators: Operators::new(admin_address),
+            admin: AdminClient::new(admin_address),
             settings: path,
             log,
         });
     }
 
-    /// Data centre of the node at a place.
+    /// Returns the data centre of the node with the given index.
     pub fn data_centre_of(&self, node: usize) -> String {
         const NAMES: [&str; 4] = ["a", "b", "c", "d"];
         NAMES[node % self.settings.data_centres].to_owned()
     }
 
-    /// The catalogue document of this site.
+    /// Returns the catalogue document that lists all upstreams of this site.
     pub fn catalogue(&self) -> Value {
         let tier = |id: &str, rank: u8| {
             json!({"id": id, "rank": rank, "default_deadline_ms": 15_000,
@@ -241,42 +241,46 @@
             "limits": {"running_requests": self.settings.running_requests}, "checks_fencing": true})
     }
 
-    /// Waits until the newest catalogue is in force on every node and every node knows a holder of each of its groups.
+    /// Waits until every node has a catalogue in force and knows a holder of every group.
     pub async fn wait_until_ready(&self) {
         let mut groups: BTreeSet<String> = (0..self.settings.engines)
             .map(|number| self.group_of(number))
             .collect();
         groups.insert(format!("{PLAIN_SERVICE}-a-1"));
         for node in &self.nodes {
-            until("a holder of each group at each node", GENEROUS, || async {
-                let holders = node.operators.holders().await;
-                let held = |group: &String| {
-                    let mut holders = holders.iter();
-                    holders.any(|(name, holder, _)| name == group && holder.is_some())
-                };
-                let in_force = node.operators.version().await? > 0;
-                (in_force && groups.iter().all(held)).then_some(())
-            })
+            wait_for(
+                "every node knows a holder of each group",
+                CONDITION_TIMEOUT,
+                || async {
+                    let holders = node.admin.holders().await;
+                    let held = |group: &String| {
+                        let mut holders = holders.iter();
+                        holders.any(|(name, holder, _)| name == group && holder.is_some())
+                    };
+                    let in_force = node.admin.version().await? > 0;
+                    (in_force && groups.iter().all(held)).then_some(())
+                },
+            )
             .await;
         }
     }
 
-    /// Group of an engine.
+    /// Returns the name of the group that the engine with the given index belongs to.
     fn group_of(&self, engine: usize) -> String {
         let group = 1 + engine / self.settings.engines_per_group;
         format!("{MODEL_SERVICE}-a-{group}")
     }
 
-    /// Place of the node that holds a group, as the node at `asked` knows it, with the epoch.
+    /// Returns the index of the node that holds `group` and its epoch, as known to the node with index `asked`.
     pub async fn holder(&self, asked: usize, group: &str) -> Option<(usize, u64)> {
-        let holders = self.nodes[asked].operators.holders().await;
+        let holders = self.nodes[asked].admin.holders().await;
         let (_, holder, epoch) = holders.into_iter().find(|(name, ..)| name == group)?;
         let holder = holder?;
-        let place = self.nodes.iter().position(|node| node.name == holder)?;
-        Some((place, epoch))
+        let index = self.nodes.iter().position(|node| node.name == holder)?;
+        Some((index, epoch))
     }
 
-    /// Settings of a caller that sends `traffic` to this site.
+    /// Returns the settings of a load client that sends `traffic` to all nodes of this site.
     pub fn caller_settings(&self, traffic: TrafficSettings) -> CallerSettings {
         let addresses = self
             .nodes
@@ -289,16 +293,16 @@
         settings
     }
 
-    /// Copies the logs of all processes into a directory that outlives this.
+    /// Copies the settings and logs of all processes into the directory `into`, which is kept.
     pub fn copy_logs(&self, into: &Path) {
-        fs::create_dir_all(into).expect("the directory for logs can be made");
-        let files = fs::read_dir(self.directory.path()).expect("the own directory can be read");
+        fs::create_dir_all(into).expect("the directory for logs can be created");
+        let files = fs::read_dir(self.directory.path()).expect("the test directory is readable");
         for file in files.flatten() {
             fs::copy(file.path(), into.join(file.file_name())).expect("a log can be copied");
         }
     }
 
-    /// A caller that sends `traffic` to this site.
+    /// Creates a load client that sends `traffic` to all nodes of this site.
     pub fn caller(&self, traffic: TrafficSettings) -> LoadClient {
         LoadClient::new(self.caller_settings(traffic))
     }
@@ -309,7 +313,7 @@
     let arguments = [&["fake"], arguments, &["--listen", &listen]].concat();
     let log = directory.path().join(format!("{name}.log"));
     let mut process = Process::start(&arguments, &log);
-    let [address, control] = process.told_addresses();
+    let [address, control] = process.read_addresses();
     StandIn {
         process,
         address,
@@ -318,6 +322,8 @@
 }
 
 fn start_node(settings: &Path, log: &Path) -> Process {
-    let settings = settings.to_str().expect("temporary paths are plain text");
+    let settings = settings
+        .to_str()
+        .expect("the path of a temporary file is valid UTF-8");
     Process::start(&["node", "--settings", settings], log)
 }
--- a/tests/support/verdict.rs
+++ b/tests/support/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges a run by the records of the stand-ins.
+//! Checks a test run against the records of the stand-ins.
 
 use {
     super::Site,
@@ -10,16 +10,16 @@
     },
 };
 
-/// Records of all stand-ins for upstreams.
+/// Records of all upstream stand-ins of a site.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Of the engines, in their order.
+    /// Records of the engines, in the order of `Site::engines`.
     pub engines: Vec<EngineRecords>,
-    /// Of the plain services, in their order.
+    /// Records of the plain upstreams, in the order of `Site::services`.
     pub services: Vec<ServiceRecords>,
 }
 
-/// Asks all stand-ins of a site for their records.
+/// Fetches the records of all upstream stand-ins of a site.
 pub async fn records_of(site: &Site) -> Records {
     let mut records = Records::default();
     for engine in &site.engines {
@@ -32,7 +32,8 @@
 }
 
 impl Records {
-    /// Asserts that every answer was whole and right; else tells what the engines did with the others.
+    /// Asserts that every answer was complete and correct. The message lists the engines' dispatches of the failed
+    /// ones.
     pub fn assert_complete(&self, report: &CallerReport) {
         let failed = incomplete(report);
         let hashes: Vec<&String> = failed
@@ -45,29 +46,29 @@
             .collect();
         assert!(
             failed.is_empty(),
-            "{failed:#?} at the engines {dispatches:#?}"
+            "incomplete answers: {failed:#?}\ntheir dispatches to engines: {dispatches:#?}"
         );
     }
 
-    /// Asserts that the records and what callers saw break no promise.
-    pub fn assert_promises(&self, report: &CallerReport) {
+    /// Asserts that the audit of the records and of the callers' results finds no violated guarantee.
+    pub fn assert_guarantees(&self, report: &CallerReport) {
         let findings = audit(report, &self.engines, &self.services);
-        assert!(findings.is_empty(), "broken promises: {findings:?}");
+        assert!(findings.is_empty(), "violated guarantees: {findings:?}");
     }
 
-    /// Asserts that no upstream ever had more requests than its owner allows.
+    /// Asserts that no upstream ever ran more requests at once than its limit `running_requests`.
     pub fn assert_limits(&self, running_requests: u32) {
         let engines = self.engines.iter().map(|records| records.most_streams);
         let services = self.services.iter().map(|records| records.most_running);
         let most: Vec<u32> = engines.chain(services).collect();
         assert!(
             most.iter().all(|most| *most <= running_requests),
-            "most requests at one time {most:?}, allowed {running_requests}"
+            "peak of concurrent requests per upstream: {most:?}, limit {running_requests}"
         );
     }
 }
 
-/// Results whose callers were told nothing at the end.
+/// Returns the results whose callers got neither a complete answer nor a refusal or failure that the program reports.
 pub fn without_final_answer(report: &CallerReport) -> Vec<&RequestResult> {
     let is_cut = |result: &&RequestResult| {
         matches!(
@@ -81,7 +82,7 @@
     report.results.iter().filter(is_cut).collect()
 }
 
-/// Results that are no whole and right answer.
+/// Returns the results that are not a complete and correct answer.
 pub fn incomplete(report: &CallerReport) -> Vec<&RequestResult> {
     let incomplete = |result: &&RequestResult| result.outcome != RequestOutcome::Complete;
     report.results.iter().filter(incomplete).collect()
