--- a/examples/measure/latency.rs
+++ b/examples/measure/latency.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy)]
 struct Timing {
     first: Duration,
-    whole: Duration,
+    complete: Duration,
 }
 
 #[derive(Default)]
@@ -76,7 +76,7 @@
             all.through_node.extend(timings.through_node);
         }
         report("first token", &all, |timing| timing.first);
-        report("whole answer", &all, |timing| timing.whole);
+        report("whole answer", &all, |timing| timing.complete);
         Ok(())
     }
 
@@ -143,10 +143,10 @@
         "an answer is not complete: {status} {}",
         String::from_utf8_lossy(&text)
     );
-    let whole = started_at.elapsed();
+    let complete = started_at.elapsed();
     Ok(Timing {
-        first: first.unwrap_or(whole),
-        whole,
+        first: first.unwrap_or(complete),
+        complete,
     })
 }
 
--- a/examples/measure/statsd.rs
+++ b/examples/measure/statsd.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the growth of a gauge per second between its first and last sample from `from` to `until`. Returns
-    /// `None` if the samples are fewer than two.
+    /// `None` if there are fewer than two samples.
     pub fn rate(&self, name: &str, from: Instant, until: Instant) -> Option<f64> {
         let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
         let in_span: Vec<_> = samples
--- a/examples/measure/system.rs
+++ b/examples/measure/system.rs
@@ -231,7 +231,7 @@
     json!({"model": MODEL, "prompt": "a".repeat(prompt_bytes), "max_tokens": tokens, "stream": true})
 }
 
-/// Returns a loopback address with a free port. The port is released before the return.
+/// Returns a loopback address with a free port. The port is not reserved for the caller.
 fn free_address() -> Result<String> {
     Ok(TcpListener::bind(("127.0.0.1", 0))?
         .local_addr()?
--- a/tests/engine_faults.rs
+++ b/tests/engine_faults.rs
@@ -232,13 +232,13 @@
     let answers = tokio::time::timeout(CONDITION_TIMEOUT, join_all(sent))
         .await
         .expect("all answers arrive in time");
-    let whole = answers
+    let complete = answers
         .iter()
         .flatten()
         .filter(|answer| answer.is_whole_stream())
         .count();
     assert_eq!(
-        whole,
+        complete,
         keys.len(),
         "requests on new connections failed: {answers:?}"
     );
--- a/tests/failure_pairs.rs
+++ b/tests/failure_pairs.rs
@@ -322,11 +322,11 @@
         .filter(|result| span.contains(&plan[result.number as usize].at))
         .filter(|result| result.entry.as_ref() != Some(&address))
         .collect();
-    let whole = in_span.iter().filter(|result| result.in_time).count();
-    let share = whole as f64 / in_span.len() as f64;
+    let in_time = in_span.iter().filter(|result| result.in_time).count();
+    let share = in_time as f64 / in_span.len() as f64;
     assert!(
         share >= LEAST_IN_TIME_SHARE,
-        "{whole} of {} prompts through the other entries were answered in time",
+        "{in_time} of {} prompts through the other entries were answered in time",
         in_span.len()
     );
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -138,7 +138,7 @@
         }
         let answer = call.send().await.expect("the node answers");
         let status = answer.status().as_u16();
-        let text = answer.text().await.expect("the answer is whole");
+        let text = answer.text().await.expect("the answer can be read");
         (
             status,
             serde_json::from_str(&text).expect("the answer is JSON"),
--- a/tests/support/control.rs
+++ b/tests/support/control.rs
@@ -34,7 +34,11 @@
         }
     }
 
-    /// Sends a command, such as a fault, and retries until the stand-in accepts it.
+    /// Sends a command, such as a fault, and retries until the stand-in answers.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the stand-in rejects the command or does not answer within `CONDITION_TIMEOUT`.
     pub async fn command(&self, path: &str, command: &Value) {
         let url = format!("http://{}{path}", self.address);
         if command["fault"] == "silence_existing" {
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns an address with a free port on this process's loopback IP. The port is released before the return.
+/// Returns an address with a free port on this process's loopback IP. The port is not reserved for the caller.
 pub fn loopback_address() -> SocketAddr {
     let listener =
         TcpListener::bind((process_ip(), 0)).expect("the loopback interface has a free port");
@@ -110,8 +110,8 @@
     Ipv4Addr::new(127, 1 + high % 250, middle, low.clamp(1, 254))
 }
 
-/// Returns the path of the binary under test. Examples have no Cargo variable for it and look in the parent directory
-/// of their own directory.
+/// Returns the path of the binary under test. Cargo tells it to tests only; examples look in the parent of the
+/// directory that holds their own executable.
 fn binary() -> PathBuf {
     if let Some(path) = option_env!("CARGO_BIN_EXE_dragonflystep") {
         return path.into();
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -293,7 +293,7 @@
         settings
     }
 
-    /// Copies the settings and logs of all processes into the directory `into`, which is kept.
+    /// Copies the settings and logs of all processes into the directory `into`, which outlives the site.
     pub fn copy_logs(&self, into: &Path) {
         fs::create_dir_all(into).expect("the directory for logs can be created");
         let files = fs::read_dir(self.directory.path()).expect("the test directory is readable");
--- a/tests/support/verdict.rs
+++ b/tests/support/verdict.rs
@@ -32,8 +32,8 @@
 }
 
 impl Records {
-    /// Asserts that every answer was complete and correct. The message lists the engines' dispatches of the failed
-    /// ones.
+    /// Asserts that every answer was complete and correct. On failure, the message lists the other requests and the
+    /// engines' records of their dispatches.
     pub fn assert_complete(&self, report: &CallerReport) {
         let failed = incomplete(report);
         let hashes: Vec<&String> = failed
