--- a/crates/dragonflystep_core/src/catalogue/change.rs
+++ b/crates/dragonflystep_core/src/catalogue/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue: checked against the version they are based on, then applied as one.
+//! Changes to the catalogue: validated against the version they are based on, then applied atomically.
 
 use {
     super::model::{Catalogue, ClientAccount, Revised, Service, TierSettings, Upstream},
@@ -7,7 +7,7 @@
     std::{collections::BTreeMap, fmt, sync::Arc},
 };
 
-/// Name of one item of the catalogue.
+/// Kind and name of one item of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemName {
@@ -32,7 +32,7 @@
     }
 }
 
-/// One edit of one item.
+/// An edit of one item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
@@ -49,7 +49,7 @@
 }
 
 impl Edit {
-    /// The item that the edit touches.
+    /// Returns the name of the item that the edit changes.
     pub fn item(&self) -> ItemName {
         match self {
             Self::PutService(service) => ItemName::Service(service.id.clone()),
@@ -64,34 +64,34 @@
 /// A change that leads from version `version - 1` to `version`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueChange {
-    /// The version that the change makes.
+    /// Version that the change creates.
     pub version: CatalogueVersion,
-    /// Unique text of the administration call, by which a lost answer is settled.
+    /// Unique text of the administration call, which identifies the change after its commit answer was lost.
     pub token: Arc<str>,
     /// Who made the change.
     pub author: Arc<str>,
-    /// Why.
+    /// Reason that the operator gave.
     pub reason: Arc<str>,
-    /// The edits, applied as one.
+    /// The edits, applied atomically.
     pub edits: Vec<Edit>,
 }
 
-/// Why a change can't be made.
+/// Reason why a change was rejected or its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "fault")]
 pub enum ChangeFault {
     /// Another change touched the item after the version that the edit is based on.
     Conflict {
-        /// The item.
+        /// The item that both changes edit.
         item: ItemName,
         /// The version that last changed it.
         revision: CatalogueVersion,
     },
-    /// An item is wrong in itself or does not fit the others.
+    /// An item is invalid in itself or inconsistent with other items.
     Invalid {
         /// Path of the field.
         path: String,
-        /// What is wrong.
+        /// What is invalid about the field.
         reason: String,
     },
     /// The platform's table service can't be reached; the change was not made.
@@ -101,9 +101,9 @@
 }
 
 impl Catalogue {
-    /// The next version, made by `change`.
+    /// Returns the next version, created by `change`.
     ///
-    /// The caller has checked the change; edits of this function only replace items.
+    /// The caller must have validated the change; this function applies the edits without further checks.
     ///
     /// # Examples
     /// ```
--- a/crates/dragonflystep_core/src/catalogue/mod.rs
+++ b/crates/dragonflystep_core/src/catalogue/mod.rs
@@ -1,7 +1,7 @@
-//! The catalogue: what operators declare and the system obeys.
+//! The catalogue: the services, upstreams, tiers and client accounts that operators configure.
 //!
-//! A [`Catalogue`] is one immutable version. A [`CatalogueChange`] leads from one version to the next;
-//! nodes learn changes, not whole catalogues, so that a change costs the same at any size.
+//! A [`Catalogue`] is one immutable version, and a [`CatalogueChange`] leads from one version to the next. Nodes
+//! normally exchange changes instead of whole catalogues, so a change costs the same whatever the catalogue's size.
 
 mod change;
 mod model;
--- a/crates/dragonflystep_core/src/catalogue/model.rs
+++ b/crates/dragonflystep_core/src/catalogue/model.rs
@@ -11,11 +11,11 @@
 pub struct Revised<T> {
     /// Version that last changed the item.
     pub revision: CatalogueVersion,
-    /// The item.
+    /// The current content.
     pub item: Arc<T>,
 }
 
-/// What answers requests for a service.
+/// Kind of upstream that answers requests for a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -25,7 +25,7 @@
     Plain,
 }
 
-/// How a service treats lower tiers when a higher one lacks room.
+/// How a service treats requests of lower tiers when a higher tier lacks capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OverloadPolicy {
@@ -36,15 +36,15 @@
     CancelAtOnce,
 }
 
-/// One service.
+/// A service that callers can address.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Name; callers reach the service under `/services/<id>/`.
     pub id: ServiceId,
-    /// What answers.
+    /// Kind of upstream that answers its requests.
     pub kind: ServiceKind,
-    /// How lower tiers make room.
+    /// How requests of lower tiers make room for higher ones.
     #[serde(default)]
     pub overload_policy: OverloadPolicy,
     /// Model that the engines serve; none for a plain service.
@@ -63,24 +63,24 @@
     Leaving,
 }
 
-/// Limits that must not be exceeded on one upstream.
+/// Limits that must not be exceeded on an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamLimits {
     /// Most requests that may run at one time.
     pub running_requests: u32,
-    /// Most tokens, prompt and answer together, that may be held at one time; none is no limit.
+    /// Most tokens, of prompt and answer together, that may be held at one time; no limit if absent.
     #[serde(default)]
     pub held_tokens: Option<u64>,
 }
 
-/// One upstream: one worker of a service, owned by some department.
+/// An upstream: one server of a service, owned by a department.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Name.
+    /// Unique name.
     pub id: UpstreamId,
-    /// Service that it answers for.
+    /// Name of the service that it belongs to.
     pub service: ServiceId,
     /// Department that owns it.
     pub owner: Arc<str>,
@@ -88,11 +88,11 @@
     pub class: Arc<str>,
     /// IP number and port.
     pub address: Arc<str>,
-    /// Data centre that it stands in.
+    /// Data centre in which it runs.
     pub data_centre: DataCentreId,
-    /// Group whose broker grants it; an upstream never changes its group.
+    /// Group whose broker grants its slots; an upstream never changes its group.
     pub group: GroupId,
-    /// Limits.
+    /// Limits on concurrent requests and tokens.
     pub limits: UpstreamLimits,
     /// Whether it takes new work.
     #[serde(default)]
@@ -100,12 +100,12 @@
     /// Whether it refuses orders that carry an old fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Name of its VM in the platform's VM list, where it has one.
+    /// Name of its VM in the platform's VM list, if it has one.
     #[serde(default)]
     pub vm: Option<Arc<str>>,
 }
 
-/// What a tier promises; times in milliseconds in documents.
+/// Service-level objective of a tier.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
@@ -117,7 +117,7 @@
     pub good_share: f64,
 }
 
-/// One tier.
+/// Settings of a tier, the priority class of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierSettings {
@@ -125,14 +125,14 @@
     pub id: Arc<str>,
     /// Rank; 0 is the most urgent.
     pub rank: Tier,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that sets none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// What the tier promises.
+    /// Service-level objective of the tier.
     pub objective: Objective,
 }
 
 impl TierSettings {
-    /// Deadline of a request that names none.
+    /// Returns the deadline of a request that sets none.
     pub fn default_deadline(&self) -> Duration {
         Duration::from_millis(self.default_deadline_ms)
     }
@@ -142,11 +142,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Name.
+    /// Unique name.
     pub id: AccountId,
     /// SHA-256 of the account's key, in hexadecimal.
     pub key_sha256: Arc<str>,
-    /// Share of a tier relative to other accounts.
+    /// Weight of the account's share of a tier, relative to other accounts.
     #[serde(default = "default_weight")]
     pub weight: u32,
     /// Names of the tiers that the account may use; empty for all.
--- a/crates/dragonflystep_core/src/catalogue_sync/change_flow.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/change_flow.rs
@@ -1,4 +1,4 @@
-//! The way of a change from the operator's call to its commit.
+//! Processing of an operator's change: validation, commit to the table, and recovery of a lost commit answer.
 
 use {
     super::{
@@ -19,29 +19,29 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Longest time until the operator is told that the fate of a change is not known.
-const LONGEST_SETTLING: Duration = Duration::from_millis(5000);
-/// Wait before a lost answer is settled again.
+/// Time after which the operator of an unsettled change gets an answer, even if the outcome is not known.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Wait before the next attempt to find out whether a commit with a lost answer took effect.
 const SETTLE_RETRY: Duration = Duration::from_millis(300);
-/// Longest wait before the next attempt after a lost race, in milliseconds, for each attempt.
+/// Upper bound of the random wait after a commit conflict, in milliseconds; it grows by this with each attempt.
 const RACE_WAIT_MS: u64 = 40;
-/// Most calls that wait on one node.
+/// Most unsettled changes that one node holds; further ones are rejected.
 const MOST_PENDING: usize = 256;
 
-/// Where a change is on its way.
+/// Processing state of a pending change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// It has to be checked against the newest version, and committed.
+    /// To be validated against the newest version, and then committed.
     Ready,
-    /// The commit was sent.
+    /// The commit was sent and its answer is awaited.
     Committing { sent_at: Duration },
     /// The answer to the commit was lost; the row of the change has to be read.
     Unsettled,
-    /// That read was sent.
+    /// The read of the change's row was sent and its answer is awaited.
     Settling,
 }
 
-/// A change that is not settled.
+/// An operator's change that is neither known to be committed nor rejected yet.
 #[derive(Debug)]
 pub(super) struct PendingChange {
     number: u64,
@@ -52,13 +52,13 @@
     retry_at: Duration,
     attempts: u64,
     step: Step,
-    /// Version whose commit may still take effect.
-    may_be: Option<CatalogueVersion>,
+    /// Version of a commit whose answer was lost and which may still take effect.
+    uncertain_version: Option<CatalogueVersion>,
 }
 
 impl CatalogueSync {
-    /// Takes in a change.
-    pub(super) fn change_wanted(
+    /// Queues an operator's change, or rejects it when too many are pending.
+    pub(super) fn change_requested(
         &mut self,
         context: &mut Context<'_>,
         call: AdminCallId,
@@ -95,13 +95,13 @@
             retry_at: context.now,
             attempts: 0,
             step: Step::Ready,
-            may_be: None,
+            uncertain_version: None,
         });
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
     }
 
-    /// Goes on with the first change until it has to wait.
-    pub(super) fn work_on_changes(&mut self, context: &mut Context<'_>) {
+    /// Advances the pending changes in order, until the first of them has to wait.
+    pub(super) fn advance_pending_changes(&mut self, context: &mut Context<'_>) {
         while let Some(pending) = self.pending.pop_front() {
             if let Some(pending) = self.step(context, pending) {
                 self.pending.push_front(pending);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Makes one step; gives the change back unless its operator was answered.
+    /// Advances a change by one step; returns it unless its operator was answered.
     fn step(
         &mut self,
         context: &mut Context<'_>,
@@ -122,15 +122,15 @@
             return None;
         }
         if pending
-            .may_be
+            .uncertain_version
             .is_some_and(|version| version <= context.view.catalogue.version)
         {
-            // Another change has that version, so that the commit can't take effect any more.
-            pending.may_be = None;
+            // Another change took that version, so this commit can no longer take effect.
+            pending.uncertain_version = None;
         }
-        if context.now.saturating_sub(pending.received_at) >= LONGEST_SETTLING {
-            if !pending.is_certain() {
-                let version = pending.may_be.unwrap_or(pending.change.version);
+        if context.now.saturating_sub(pending.received_at) >= SETTLE_TIMEOUT {
+            if !pending.is_certainly_uncommitted() {
+                let version = pending.uncertain_version.unwrap_or(pending.change.version);
                 self.left_unsettled(version.max(pending.change.version));
             }
             pending.give_up(context);
@@ -166,7 +166,7 @@
         }
         let is_kept = self.history.reaches_back_to(pending.based_on, in_force);
         if !is_kept && in_force - pending.based_on <= KEPT_CHANGES as u64 {
-            // The changes in between tell whether the edits conflict.
+            // The changes since `based_on` are needed to detect conflicting edits.
             self.read_older(context, pending.based_on);
             return Some(pending);
         }
@@ -244,9 +244,9 @@
             .iter()
             .position(|pending| pending.number == number);
         let Some(mut pending) = index.and_then(|index| self.pending.remove(index)) else {
-            // The operator was told that nobody knows; now it is known after all.
+            // The operator was already told that the outcome is unknown; the answer still updates the known rows.
             if let TableOutcome::Committed(rows) | TableOutcome::Conflicted(rows) = outcome {
-                self.see_rows(context, rows);
+                self.process_rows(context, rows);
             }
             return;
         };
@@ -260,7 +260,7 @@
                 self.committed(context, pending, sent_at, rows);
             }
             TableOutcome::Conflicted(rows) => self.lost_race(context, pending, rows),
-            TableOutcome::Unavailable if pending.may_be.is_none() => {
+            TableOutcome::Unavailable if pending.uncertain_version.is_none() => {
                 reject(context, pending.call, vec![ChangeFault::StoreUnavailable]);
             }
             TableOutcome::Unavailable => {
@@ -268,12 +268,12 @@
                 self.pending.push_front(pending);
             }
             TableOutcome::Unknown | TableOutcome::Rows(_) => {
-                pending.may_be = Some(pending.change.version);
+                pending.uncertain_version = Some(pending.change.version);
                 pending.step = Step::Unsettled;
                 self.pending.push_front(pending);
             }
         }
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
     }
 
     fn committed(
@@ -285,19 +285,19 @@
     ) {
         let change = Arc::new(pending.change);
         self.own_change_committed(context, &change);
-        self.see_rows(context, rows);
-        self.known_newest(context, change.version, sent_at);
+        self.process_rows(context, rows);
+        self.confirm_newest(context, change.version, sent_at);
         self.accepted(context, pending.call, change.version);
     }
 
-    /// Goes back to the check with the newest version, a little later than others that lost as well.
+    /// Returns to validation against the newest version, after a random wait that spreads out competing nodes.
     fn lost_race(&mut self, context: &mut Context<'_>, mut pending: PendingChange, rows: &[Row]) {
         let longest_ms = RACE_WAIT_MS * pending.attempts;
         let wait_ms = context.random.random_range(0..=longest_ms);
         pending.retry_at = context.now + Duration::from_millis(wait_ms);
         self.pending.push_front(pending);
         self.head.read_soon();
-        self.see_rows(context, rows);
+        self.process_rows(context, rows);
         self.fetch_when_due(context);
     }
 
@@ -311,7 +311,7 @@
         });
     }
 
-    /// Handles the read that settles a lost answer; the token in the row tells.
+    /// Handles the read that follows a lost commit answer; the token in the row identifies the change.
     pub(super) fn settled(
         &mut self,
         context: &mut Context<'_>,
@@ -324,7 +324,7 @@
             .find(|pending| pending.number == number)
         {
             match outcome {
-                // When the row is absent the same commit is sent again: at most one of the two takes effect.
+                // If the row is absent, the same commit is sent again; at most one of the two can take effect.
                 TableOutcome::Rows(_) => pending.step = Step::Ready,
                 _ => {
                     pending.step = Step::Unsettled;
@@ -333,16 +333,18 @@
             }
         }
         if let TableOutcome::Rows(rows) = outcome {
-            self.see_rows(context, rows);
+            self.process_rows(context, rows);
         }
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
     }
 
-    /// Tells operators at once whose change can't even be tried.
-    pub(super) fn table_is_out(&mut self, context: &mut Context<'_>) {
+    /// Rejects changes of which no commit can be outstanding, because the table is unavailable.
+    pub(super) fn table_unavailable(&mut self, context: &mut Context<'_>) {
         let (failed, kept) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|pending| pending.step == Step::Ready && pending.may_be.is_none());
+            .partition(|pending| {
+                pending.step == Step::Ready && pending.uncertain_version.is_none()
+            });
         self.pending = kept;
         for pending in failed {
             reject(context, pending.call, vec![ChangeFault::StoreUnavailable]);
@@ -351,14 +353,14 @@
 }
 
 impl PendingChange {
-    /// Whether the change was certainly not made.
-    fn is_certain(&self) -> bool {
-        self.may_be.is_none() && !matches!(self.step, Step::Committing { .. })
+    /// Whether it is certain that no commit of this change took effect.
+    fn is_certainly_uncommitted(&self) -> bool {
+        self.uncertain_version.is_none() && !matches!(self.step, Step::Committing { .. })
     }
 
-    /// Tells the operator that it took too long.
+    /// Rejects the change after the timeout: as unsettled if a commit may have taken effect, otherwise as not made.
     fn give_up(&self, context: &mut Context<'_>) {
-        let fault = match self.is_certain() {
+        let fault = match self.is_certainly_uncommitted() {
             true => ChangeFault::StoreUnavailable,
             false => ChangeFault::Unsettled,
         };
--- a/crates/dragonflystep_core/src/catalogue_sync/checks.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a change against the catalogue in force: every fault, each with its path.
+//! Validation of a change against the catalogue in force; reports every fault with its path.
 
 use {
     crate::catalogue::{Catalogue, CatalogueChange, ChangeFault, Edit, ItemName, Upstream},
@@ -9,12 +9,12 @@
     },
 };
 
-/// Longest name of an item.
+/// Longest name of an item, in bytes.
 const LONGEST_ID: usize = 64;
-/// Most edits in one change; a change has to fit into a row.
+/// Most edits in one change; bounded because a change has to fit into one table row.
 pub const MOST_EDITS: usize = 1000;
 
-/// Collects faults under paths.
+/// Collects the faults of a change, each with the path of the field.
 #[derive(Debug, Default)]
 struct Faults {
     faults: Vec<ChangeFault>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Every fault of a change to `current`; `change.version` is the version that it would make.
+/// Returns every fault of a change to `current`; `change.version` is the version that the change would create.
 ///
 /// # Examples
 /// ```
--- a/crates/dragonflystep_core/src/catalogue_sync/confirm.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/confirm.rs
@@ -1,4 +1,4 @@
-//! Waiting until an accepted change is in force on all live nodes, before the operator is answered.
+//! Delays the answer to an accepted change until the change is in force on all live nodes or a timeout has passed.
 
 use {
     super::CatalogueSync,
@@ -12,16 +12,16 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Longest wait for the other nodes.
+/// Time after which the operator is answered even if nodes have not confirmed the version.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// Time that the pushes get before nodes are asked.
+/// Time for pushed changes to arrive before nodes are probed for their version.
 const PUSH_TIME: Duration = Duration::from_millis(100);
-/// Wait before a node is asked again.
+/// Wait before a node is probed again.
 const ASK_INTERVAL: Duration = Duration::from_millis(400);
-/// Most nodes that are asked in one round.
+/// Most nodes that are probed in one round for one change.
 const MOST_ASKED: usize = 64;
 
-/// An accepted change whose operator waits.
+/// An accepted change whose operator has not been answered yet.
 #[derive(Debug)]
 pub(super) struct Confirmation {
     call: AdminCallId,
@@ -31,7 +31,7 @@
 }
 
 impl CatalogueSync {
-    /// Answers the operator once the other nodes have the version, or have had time to get it.
+    /// Answers the operator once all live nodes have the version, or after a timeout.
     pub(super) fn accepted(
         &mut self,
         context: &mut Context<'_>,
@@ -47,7 +47,7 @@
         self.confirm_when_due(context);
     }
 
-    /// Asks nodes that have not confirmed, and answers operators.
+    /// Probes nodes that have not confirmed, and answers operators whose wait is over.
     pub(super) fn confirm_when_due(&mut self, context: &mut Context<'_>) {
         for mut confirmation in std::mem::take(&mut self.confirmations) {
             if !confirmation.is_answered(context) {
@@ -107,7 +107,7 @@
     }
 }
 
-/// A probe that tells the version in force here and asks for the peer's.
+/// Returns a probe that reports the version in force on this node and asks for the peer's.
 pub(crate) fn version_probe(context: &Context<'_>) -> Probe {
     let view = &context.view;
     Probe {
--- a/crates/dragonflystep_core/src/catalogue_sync/fetch.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/fetch.rs
@@ -1,8 +1,8 @@
-//! Fetching missed versions: a few from a peer first, then from the table; many by way of a snapshot.
+//! Fetches missed versions: a few from a peer first and then from the table, many from a snapshot.
 //!
-//! A peer gives the changes that it keeps, or its whole catalogue in one message. A node that is further behind
-//! than one such answer therefore reads a snapshot and the changes after it from the platform, and turns to peers
-//! when the platform has none or does not answer in time.
+//! A peer answers with the changes that it keeps or with its whole catalogue in one message. A node that is more
+//! than one such answer behind therefore reads a snapshot and the changes after it from the platform. It asks
+//! peers when the platform has no snapshot or does not answer in time.
 
 use {
     super::{CatalogueSync, rows::change_key},
@@ -17,46 +17,46 @@
     std::time::Duration,
 };
 
-/// Most changes in one answer or one read; a node that is further behind takes a whole catalogue.
+/// Most changes in one answer or one read; a peer sends its whole catalogue to a node that is further behind.
 const MOST_CHANGES: u64 = 64;
-/// Wait for a peer's answer before the next attempt.
-const PEER_PATIENCE: Duration = Duration::from_millis(400);
+/// Time that a peer has to answer before the next attempt.
+const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What this node does to catch up.
+/// State of catching up with the newest version.
 #[derive(Debug, Default)]
 pub(super) struct Fetch {
     /// Newest version that some peer is known to have.
-    peers_have: CatalogueVersion,
+    newest_at_peers: CatalogueVersion,
     asked_at: Option<Duration>,
-    /// Whether a peer was asked in vain since the last progress.
-    is_peer_silent: bool,
+    /// Whether the next attempt reads from the platform instead of asking a peer; each timeout of a peer toggles it.
+    is_peer_skipped: bool,
     is_reading: bool,
-    /// Whether the row after the version in force was read and is not there.
+    /// Whether a read showed that the change row after the version in force is absent.
     is_row_missing: bool,
 }
 
 impl Fetch {
-    /// Notes that a newer version came into force.
+    /// Resets the attempts after a newer version came into force.
     pub(super) fn made_progress(&mut self) {
         self.asked_at = None;
-        self.is_peer_silent = false;
+        self.is_peer_skipped = false;
         self.is_row_missing = false;
     }
 }
 
 impl CatalogueSync {
-    /// Takes in that a peer has a newer version.
+    /// Records that a peer has a newer version, and requests it unless a request is outstanding.
     pub(super) fn peer_has(
         &mut self,
         context: &mut Context<'_>,
         peer: &NodeId,
         version: CatalogueVersion,
     ) {
-        self.fetch.peers_have = self.fetch.peers_have.max(version);
+        self.fetch.newest_at_peers = self.fetch.newest_at_peers.max(version);
         let is_asked = self
             .fetch
             .asked_at
-            .is_some_and(|asked_at| context.now.saturating_sub(asked_at) < PEER_PATIENCE);
+            .is_some_and(|asked_at| context.now.saturating_sub(asked_at) < PEER_TIMEOUT);
         if !is_asked && !self.prefers_platform(context) {
             self.ask_peer(context, peer);
         }
@@ -68,7 +68,7 @@
         context.send(peer, Message::CatalogueWanted { have_version });
     }
 
-    /// Goes on with catching up when this node is behind.
+    /// Requests missing versions from a peer or the platform when this node is behind.
     pub(super) fn fetch_when_due(&mut self, context: &mut Context<'_>) {
         let in_force = context.view.catalogue.version;
         if self.newest_known() <= in_force {
@@ -79,11 +79,11 @@
             return;
         }
         if let Some(asked_at) = self.fetch.asked_at {
-            if context.now.saturating_sub(asked_at) < PEER_PATIENCE {
+            if context.now.saturating_sub(asked_at) < PEER_TIMEOUT {
                 return;
             }
             self.fetch.asked_at = None;
-            self.fetch.is_peer_silent = !self.fetch.is_peer_silent;
+            self.fetch.is_peer_skipped = !self.fetch.is_peer_skipped;
         }
         let peer = context
             .view
@@ -93,23 +93,23 @@
             .map(|(node, _)| node.clone())
             .choose(context.random);
         match peer {
-            Some(peer) if !self.fetch.is_peer_silent => self.ask_peer(context, &peer),
+            Some(peer) if !self.fetch.is_peer_skipped => self.ask_peer(context, &peer),
             _ => self.read_from_platform(context),
         }
     }
 
     fn newest_known(&self) -> CatalogueVersion {
-        self.head.newest().max(self.fetch.peers_have)
+        self.head.newest().max(self.fetch.newest_at_peers)
     }
 
-    /// Whether a peer could only give its whole catalogue, and the platform may have a shorter way.
+    /// Whether this node is so far behind that a peer would send its whole catalogue, and a snapshot may be usable.
     fn prefers_platform(&self, context: &Context<'_>) -> bool {
         let in_force = context.view.catalogue.version;
         let missing = self.newest_known().saturating_sub(in_force);
         missing > MOST_CHANGES && self.may_load_snapshot(context)
     }
 
-    /// Reads a snapshot where that is shorter than reading changes, or the only way.
+    /// Reads a snapshot if the node is far behind or the next change row is absent, and changes otherwise.
     fn read_from_platform(&mut self, context: &mut Context<'_>) {
         let in_force = context.view.catalogue.version;
         let is_far = self.newest_known().saturating_sub(in_force) > MOST_CHANGES;
@@ -126,7 +126,7 @@
         self.read_range(context, first, last);
     }
 
-    /// Reads changes from before the kept ones, back to the one after `based_on`.
+    /// Reads changes older than the kept ones, back to the one after `based_on`.
     pub(super) fn read_older(&mut self, context: &mut Context<'_>, based_on: CatalogueVersion) {
         let oldest = self.history.oldest(context.view.catalogue.version);
         let first = (based_on + 1).max(oldest.saturating_sub(MOST_CHANGES));
@@ -155,27 +155,27 @@
     pub(super) fn changes_read(&mut self, context: &mut Context<'_>, outcome: &TableOutcome) {
         self.fetch.is_reading = false;
         let TableOutcome::Rows(rows) = outcome else {
-            self.fetch.is_peer_silent = false;
-            self.snapshot_was_no_use();
-            self.table_is_out(context);
+            self.fetch.is_peer_skipped = false;
+            self.snapshot_did_not_help();
+            self.table_unavailable(context);
             return;
         };
         let in_force = context.view.catalogue.version;
-        self.see_rows(context, rows);
+        self.process_rows(context, rows);
         if context.view.catalogue.version > in_force {
-            // What is left is asked for at once.
+            // Requests the remaining versions without waiting for the next round.
             self.fetch_when_due(context);
         } else {
             self.fetch.is_row_missing = self.head.newest() > in_force;
             if self.fetch.is_row_missing {
-                self.snapshot_was_no_use();
+                self.snapshot_did_not_help();
             }
         }
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
     }
 
-    /// Gives a peer what it misses.
-    pub(super) fn answer_wanted(
+    /// Sends a peer the changes that it lacks, or the whole catalogue if it is too far behind.
+    pub(super) fn send_missing_changes(
         &mut self,
         context: &mut Context<'_>,
         peer: &NodeId,
--- a/crates/dragonflystep_core/src/catalogue_sync/follow.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/follow.rs
@@ -1,4 +1,4 @@
-//! Following the head, and putting versions in force.
+//! Polls the head row and puts new versions in force.
 
 use {
     super::{
@@ -20,25 +20,25 @@
 
 /// Shortest interval between two reads of the head.
 const SHORTEST_POLL: Duration = Duration::from_millis(2000);
-/// Longest interval between two reads of the head, with its jitter well below the promised 7 s.
+/// Longest interval between two reads of the head; with jitter it stays well below the promised 7 s.
 const LONGEST_POLL: Duration = Duration::from_millis(2700);
-/// Poll interval added by each node.
+/// Added to the poll interval for each node, so that the load on the table stays bounded.
 const POLL_PER_NODE: Duration = Duration::from_millis(7);
-/// Nodes to which an accepted change is pushed first.
+/// Number of nodes to which the committing node pushes a change.
 const FIRST_PUSH: usize = 16;
-/// Nodes to which a node pushes a change that it has just learned.
+/// Number of nodes to which a node forwards changes that it has just learned.
 const NEXT_PUSH: usize = 4;
-/// A node that learned more changes than this at once was behind, and does not push them.
+/// A node that learned more changes than this at once was behind, and does not forward them.
 const MOST_PUSHED_ON: usize = 4;
 
-/// What is known of the head row.
+/// The last known state of the head row.
 #[derive(Debug, Default)]
 pub(super) struct Head {
-    /// Whether it was ever read.
+    /// Whether the head row was ever read or seen in an answer.
     pub(super) is_known: bool,
-    /// Version of the row; none while there is no row.
+    /// Version of the row; `None` while the row does not exist.
     pub(super) row_version: Option<RowVersion>,
-    /// The newest catalogue version, and when the call was sent that showed it.
+    /// The newest catalogue version; `newest_at` is when the call that showed it was sent, until it is in force.
     newest: CatalogueVersion,
     newest_at: Option<Duration>,
     in_flight_since: Option<Duration>,
@@ -46,19 +46,19 @@
 }
 
 impl Head {
-    /// The newest version that the table is known to have.
+    /// Returns the newest version that the table is known to have.
     pub(super) fn newest(&self) -> CatalogueVersion {
         self.newest
     }
 
-    /// Asks for a read with the next round.
+    /// Schedules a read for the next round.
     pub(super) fn read_soon(&mut self) {
         self.next_at = Duration::ZERO;
     }
 }
 
 impl CatalogueSync {
-    /// Reads the head when it is time.
+    /// Reads the head row if the poll interval has passed and no read is outstanding.
     pub(super) fn read_head_when_due(&mut self, context: &mut Context<'_>) {
         if self.head.in_flight_since.is_some() || context.now < self.head.next_at {
             return;
@@ -81,24 +81,24 @@
         match outcome {
             TableOutcome::Rows(rows) => {
                 self.head.is_known = true;
-                self.see_rows(context, rows);
+                self.process_rows(context, rows);
                 if let Some(sent_at) = sent_at {
                     let shown = rows.iter().find_map(read_head).unwrap_or(0);
-                    self.known_newest(context, shown, sent_at);
+                    self.confirm_newest(context, shown, sent_at);
                 }
                 self.fetch_when_due(context);
             }
-            _ => self.table_is_out(context),
+            _ => self.table_unavailable(context),
         }
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
     }
 
-    /// Takes in rows of the head and of changes.
-    pub(super) fn see_rows(&mut self, context: &mut Context<'_>, rows: &[Row]) {
+    /// Processes head and change rows that a table answer contained.
+    pub(super) fn process_rows(&mut self, context: &mut Context<'_>, rows: &[Row]) {
         let mut changes: Vec<Arc<CatalogueChange>> = Vec::new();
         for row in rows {
             if let Some(version) = read_head(row) {
-                self.see_head(context, row.version, version);
+                self.process_head(context, row.version, version);
             } else if let Some(change) = read_change(row) {
                 changes.push(Arc::new(change));
             }
@@ -106,7 +106,7 @@
         self.changes_received(context, &changes);
     }
 
-    fn see_head(
+    fn process_head(
         &mut self,
         context: &mut Context<'_>,
         row_version: RowVersion,
@@ -130,11 +130,11 @@
         self.head.is_known = true;
         self.head.row_version = Some(row_version);
         self.head.newest = version;
-        self.version_heard(context, version);
+        self.note_version(context, version);
     }
 
-    /// Takes in that no version above `version` was committed before `at`.
-    pub(super) fn known_newest(
+    /// Records that no version above `version` was committed before `at`.
+    pub(super) fn confirm_newest(
         &mut self,
         context: &mut Context<'_>,
         version: CatalogueVersion,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Puts changes in force that follow the present version; older ones only complete the history.
+    /// Applies changes that follow the version in force; older ones only extend the history.
     pub(super) fn changes_received(
         &mut self,
         context: &mut Context<'_>,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Puts a change in force that this node has committed, and tells the others.
+    /// Applies a change that this node has committed, and pushes it to other nodes.
     pub(super) fn own_change_committed(
         &mut self,
         context: &mut Context<'_>,
@@ -198,7 +198,7 @@
         push(context, std::slice::from_ref(change), FIRST_PUSH);
     }
 
-    /// Puts a whole newer catalogue in force.
+    /// Replaces the catalogue in force by a newer one.
     pub(super) fn snapshot_received(
         &mut self,
         context: &mut Context<'_>,
@@ -214,13 +214,13 @@
 
     fn applied(&mut self, context: &mut Context<'_>) {
         context.signal(Signal::CatalogueApplied);
-        self.note_flight(context);
+        self.update_change_in_flight(context);
         self.fetch.made_progress();
         let version = context.view.catalogue.version;
         if version >= self.head.newest
             && let Some(at) = self.head.newest_at.take()
         {
-            self.known_newest(context, version, at);
+            self.confirm_newest(context, version, at);
         }
     }
 }
--- a/crates/dragonflystep_core/src/catalogue_sync/history.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/history.rs
@@ -1,4 +1,4 @@
-//! The last changes, kept for peers that are behind, for operators, and for the check of edits.
+//! The most recent changes, kept for peers that are behind, for operators, and to detect conflicting edits.
 
 use {
     crate::{
@@ -11,17 +11,17 @@
     },
 };
 
-/// How many changes are kept.
+/// Number of changes that a node keeps in memory.
 pub const KEPT_CHANGES: usize = 256;
 
-/// The last changes, oldest first, without a gap.
+/// The most recent changes, oldest first, with consecutive versions.
 #[derive(Debug, Default)]
 pub struct History {
     changes: VecDeque<Arc<CatalogueChange>>,
 }
 
 impl History {
-    /// Adds the change that made the version in force.
+    /// Appends the change that created the version in force, and drops the oldest one beyond the limit.
     pub fn push(&mut self, change: Arc<CatalogueChange>) {
         self.changes.push_back(change);
         if self.changes.len() > KEPT_CHANGES {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds a change from before the oldest kept one, where it joins without a gap.
+    /// Prepends a change if it directly precedes the oldest kept one and there is room.
     pub fn extend_back(&mut self, change: &Arc<CatalogueChange>, in_force: CatalogueVersion) {
         let oldest = self.oldest(in_force);
         if change.version + 1 == oldest && self.changes.len() < KEPT_CHANGES {
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Version of the oldest kept change; the one after the version in force when none is kept.
+    /// Returns the version of the oldest kept change, or the one after the version in force when none is kept.
     pub fn oldest(&self, in_force: CatalogueVersion) -> CatalogueVersion {
         let oldest = self.changes.front();
         oldest.map_or(in_force + 1, |oldest| oldest.version)
     }
 
-    /// Forgets everything, because versions were skipped.
+    /// Drops all changes after versions were skipped, since they would no longer be consecutive.
     pub fn clear(&mut self) {
         self.changes.clear();
     }
 
-    /// Changes after a version, oldest first; none when the oldest of them is no longer kept.
+    /// Returns up to `most` changes after a version, oldest first; `None` when the oldest of them is not kept.
     pub fn after(
         &self,
         version: CatalogueVersion,
@@ -65,7 +65,7 @@
         Some(wanted.take(most).cloned().collect())
     }
 
-    /// All kept changes from a version on, oldest first.
+    /// Returns all kept changes from `version` on, oldest first.
     pub fn since(&self, version: CatalogueVersion) -> Vec<Arc<CatalogueChange>> {
         let wanted = self
             .changes
@@ -74,14 +74,14 @@
         wanted.cloned().collect()
     }
 
-    /// The change with this token.
+    /// Finds the kept change that was made by the administration call with this token.
     pub fn by_token(&self, token: &str) -> Option<&Arc<CatalogueChange>> {
         self.changes.iter().find(|change| *change.token == *token)
     }
 
-    /// Conflicts of edits that are based on an older version.
+    /// Returns the conflicts of edits that are based on an older version.
     ///
-    /// The kept changes tell; an item that was removed has no revision in the catalogue any more.
+    /// They are found in the kept changes, because a removed item has no revision in the catalogue any more.
     pub fn conflicts(&self, based_on: CatalogueVersion, edits: &[Edit]) -> Vec<ChangeFault> {
         let mut revisions: BTreeMap<ItemName, CatalogueVersion> = BTreeMap::new();
         for change in self.since(based_on + 1) {
--- a/crates/dragonflystep_core/src/catalogue_sync/mod.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/mod.rs
@@ -1,15 +1,15 @@
-//! Catalogue versions: accepted changes come into force everywhere and never revert.
+//! Distribution of catalogue versions: accepted changes come into force on every node and are never reverted.
 //!
-//! The table service keeps a head row with the newest version and one row for each change. A change is
-//! committed in one transaction that demands the head row as it was seen and the absence of the change's
-//! row, so that versions rise by one and every version has one content. Nodes read the head every few
-//! seconds, hear of versions in probes, get new changes pushed by peers, and fetch what they miss from peers
-//! or from the table. A node puts only the next version in force, or a whole newer catalogue; never an older
-//! one.
+//! The table service keeps a head row with the newest version and one row for each change. A change is committed
+//! in one transaction that requires the head row to be unchanged and the change's row to be absent. Versions
+//! therefore rise by one and every version has exactly one content. Nodes poll the head every few seconds, learn
+//! of versions from probes, receive new changes pushed by peers, and fetch what they lack from peers or from the
+//! table. A node puts only the next version or a whole newer catalogue in force, never an older one.
 //!
-//! [`View::catalogue_confirmed_at`](crate::View) is a time before which no version newer than the one in
-//! force was committed: the time at which a read of the head was sent, or that of a peer, counted back from
-//! the time at which this node asked it, or the word of a majority (see `quorum`).
+//! [`View::catalogue_confirmed_at`](crate::View) is a time before which no version newer than the one in force
+//! was committed. It comes from one of three sources: the time at which a read of the head was sent; the age that
+//! a peer reported, counted back from the time at which this node sent the probe; or a majority of the members
+//! (see `quorum`).
 
 mod change_flow;
 mod checks;
@@ -50,16 +50,16 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// How often this part looks at what is due.
+/// Interval of the periodic round.
 const ROUND: Duration = Duration::from_millis(100);
 
-/// State of this part.
+/// State of the distribution of catalogue versions on one node.
 #[derive(Debug, Default)]
 pub struct CatalogueSync {
     history: History,
     head: Head,
     fetch: Fetch,
-    /// Calls whose change is not settled; the first one is worked on.
+    /// Unsettled changes; only the first one is processed.
     pending: VecDeque<PendingChange>,
     next_number: u64,
     confirmations: Vec<Confirmation>,
@@ -68,46 +68,46 @@
 }
 
 impl CatalogueSync {
-    /// Starts the rounds.
+    /// Runs the first periodic round.
     pub fn start(&mut self, context: &mut Context<'_>) {
         self.round_due(context);
     }
 
-    /// Reads the head of the catalogue, and goes on with what waits.
+    /// Runs one round: polls the head, fetches missing versions, and advances pending changes and snapshots.
     pub fn round_due(&mut self, context: &mut Context<'_>) {
         context.start_timer(ROUND, Timer::CatalogueRound);
         self.note_members(context);
-        self.note_flight(context);
+        self.update_change_in_flight(context);
         self.read_head_when_due(context);
         self.fetch_when_due(context);
-        self.work_on_changes(context);
+        self.advance_pending_changes(context);
         self.end_proposal_when_done(context);
         self.confirm_when_due(context);
         self.write_snapshot_when_due(context);
     }
 
-    /// Compares versions with a peer.
+    /// Records the version in a peer's probe, and requests it if it is newer.
     pub fn peer_probed(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
-        self.version_heard(context, probe.catalogue_version);
+        self.note_version(context, probe.catalogue_version);
         if probe.catalogue_version > context.view.catalogue.version {
             self.peer_has(context, from, probe.catalogue_version);
         }
     }
 
-    /// Takes in what a peer's probe says of changes of its own.
+    /// Records whether a peer's probe announces a change of its own.
     pub fn peer_asked(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
-        self.peer_told(context, from, probe);
+        self.peer_announced(context, from, probe);
     }
 
-    /// Takes in that a peer heard what this node said of a change of its own.
+    /// Records that a peer received this node's announcement of a change.
     pub fn own_probe_answered(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         self.proposal_answered(context, from, probe);
     }
 
-    /// Takes in how fresh a peer's version was, from the answer to a probe of this node.
+    /// Records how recently a peer confirmed its version, from the answer to a probe of this node.
     ///
-    /// The peer's age counts from some moment after the probe was sent, on its clock; counted from the time
-    /// of sending, the confirmation is never newer than it was.
+    /// The reported age counts from the peer's answer, which comes after the probe was sent. Counting it back from the
+    /// time of sending, less a margin for clock drift, therefore never makes the confirmation newer than it was.
     pub fn peer_answered(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         self.peer_vouched(context, from, probe);
         let Some(age) = probe.catalogue_age else {
@@ -115,16 +115,16 @@
         };
         let margin = crate::lease::drift_margin(&context.view.tuning, age);
         if let Some(confirmed_at) = probe.sent_at.checked_sub(age + margin) {
-            self.known_newest(context, probe.catalogue_version, confirmed_at);
+            self.confirm_newest(context, probe.catalogue_version, confirmed_at);
         }
     }
 
-    /// Handles a message about versions.
+    /// Handles a message that requests or carries changes or a whole catalogue.
     pub fn message(&mut self, context: &mut Context<'_>, from: &NodeId, message: Message) {
         match message {
             Message::CatalogueChanges(changes) => self.changes_received(context, &changes),
             Message::CatalogueWanted { have_version } => {
-                self.answer_wanted(context, from, have_version);
+                self.send_missing_changes(context, from, have_version);
             }
             Message::CatalogueSnapshot(catalogue) => self.snapshot_received(context, catalogue),
             _ => {}
@@ -166,7 +166,7 @@
             }
             AdminCommand::ShowStatus => AdminAnswer::Status(status(context)),
             AdminCommand::ChangeCatalogue { .. } => {
-                self.change_wanted(context, call, command);
+                self.change_requested(context, call, command);
                 return;
             }
         };
--- a/crates/dragonflystep_core/src/catalogue_sync/parts.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/parts.rs
@@ -1,18 +1,18 @@
-//! Edits that are too many for one change, cut into changes that follow each other.
+//! Splits a list of edits that is too long for one change into consecutive changes.
 
 use {
     super::checks::{MOST_EDITS, find_faults},
     crate::catalogue::{Catalogue, CatalogueChange, ChangeFault, Edit},
 };
 
-/// Cuts edits into parts, each of which one change can hold; the order of the edits stays.
+/// Splits edits, in order, into parts that each fit into one change.
 ///
-/// A change is checked as a whole, so that what is right in one change may be wrong between two of them, for
-/// example a rank that moves from a tier to another. Several parts are therefore checked one after the other before
-/// any is sent; a single one is left to the node.
+/// A change is validated as a whole, so edits that are valid together may be invalid when split, for example a rank
+/// that moves from one tier to another. Several parts are therefore validated one after the other before any is
+/// sent. A single part is left to the node to validate.
 ///
 /// # Errors
-/// With the faults of the first part that would be refused after those before it.
+/// Returns the faults of the first part that would be rejected after the parts before it were applied.
 ///
 /// # Examples
 /// ```
--- a/crates/dragonflystep_core/src/catalogue_sync/quorum.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/quorum.rs
@@ -1,30 +1,32 @@
-//! Trust in the version in force while the table service can't be read.
+//! Confirms the version in force by a majority while the table service can't be read.
 //!
-//! With the table out for everybody no node can read the head, and yet no change can be made: service has
-//! to go on. A node that is only cut off from the table can't tell this from a change which others
-//! commit meanwhile. So a change needs the word of a majority before its commit is sent, and the word of
-//! a majority that no change may be under way keeps a version trusted:
+//! When the table is unavailable to every node, no node can read the head, but no change can be committed either,
+//! so service has to continue. A node that alone is cut off from the table can't distinguish this from a change
+//! that others commit meanwhile. A change therefore needs acknowledgements from a majority before its commit is sent,
+//! and a version stays confirmed while a majority vouches that no change may be in flight:
 //!
-//! - A node that wants to commit first tells all members by probes with `change_in_flight`, and commits only when
-//!   a majority, itself included, has answered. It goes on saying so until the fate of its commit is known.
-//! - A member that was told says in its answers that a change may be in flight, until the same process takes it
-//!   back or until it has a version that leaves no room for that change. A read of the head is no proof: a
-//!   write whose answer was lost may take effect later. It says the same while it knows of a version newer
-//!   than its own.
-//! - A node counts its version as the newest at the oldest moment among the words of the freshest majority, itself
-//!   included, that know of no newer version and of no change in flight.
+//! - A node that wants to commit first announces this to all members by probes with `change_in_flight`, and commits
+//!   only when a majority, itself included, has answered. It keeps announcing it until the outcome is known.
+//! - A member that received the announcement answers that a change may be in flight, until the same process withdraws
+//!   the announcement or the member has a version that rules out that change. A read of the head is no proof,
+//!   because a write whose answer was lost may take effect later. A member answers the same while it knows of a
+//!   version newer than its own.
+//! - A node considers the answers of members, itself included, that know of no newer version and of no change in
+//!   flight. Its version is confirmed as of the time at which it sent the oldest of the probes that the most recent
+//!   majority answered.
 //!
-//! - A process that has just started may have forgotten what its predecessor was told, and says for a while that a
-//!   change may be in flight; a word counts only from the process that the list of members names. A commit
-//!   is thought to take effect within that while after it was sent, also when its answer was lost.
+//! - A process that has just started may lack announcements that its predecessor received, so it answers for a while
+//!   that a change may be in flight. An answer counts only from the process that the list of members names. A commit
+//!   is assumed to take effect within that time after it was sent, even if its answer was lost.
 //!
-//! Two majorities share a member. Had a change been committed before the moment that the second one vouches
-//! for, that member would have been told before, and would not have vouched. The members are those of
-//! [`View::members`](crate::View) with this node, and those of [`View::silent`](crate::View): a node that can
-//! neither be reached nor renew its row may go on with others in its place. While the table is out for all that list does not change;
-//! where it is out for some, two lists may differ, and two majorities share a member as long as fewer nodes
-//! came or went than each majority exceeds a half by, once for each list. A node therefore trusts a
-//! majority only when its list has stood still for a while, and commits only when it has read the list.
+//! Any two majorities share a member. If a change had been committed before the time that the second majority vouches
+//! for, the shared member would have received the announcement earlier and would not have vouched. The members are
+//! those of [`View::members`](crate::View), this node, and those of [`View::silent`](crate::View): a node that can
+//! neither be reached nor renew its row may still be working with others. While the table is unavailable to all, that
+//! list does not change. While it is unavailable to some, two lists may differ; two majorities still share a member as
+//! long as the nodes that came or went are fewer than the sum of what each majority has beyond half of its list. A node
+//! therefore trusts a majority only when its list has been stable for a while, and commits only when it has read the
+//! list.
 
 use {
     super::{CatalogueSync, version_probe},
@@ -39,47 +41,47 @@
     },
 };
 
-/// How long a node's list of members must have stood still before it trusts the word of a majority.
-const STEADY_FOR: Duration = Duration::from_secs(8);
-/// How long after its start a process does not vouch for anything.
-const SILENT_FOR: Duration = Duration::from_secs(12);
-/// How long before a commit a member may have been told of it.
-const TOLD_WITHIN: Duration = Duration::from_secs(2);
-/// Wait before members that have not answered are told of a change again.
-const TELL_INTERVAL: Duration = Duration::from_millis(400);
+/// Time for which the list of members must be unchanged before a majority is trusted.
+const MEMBERS_STABLE_FOR: Duration = Duration::from_secs(8);
+/// Time after its start during which a process does not vouch for any version.
+const NO_VOUCH_AFTER_START: Duration = Duration::from_secs(12);
+/// Longest time between an announcement and the commit that relies on its acknowledgement.
+const ACKNOWLEDGEMENT_VALIDITY: Duration = Duration::from_secs(2);
+/// Wait before a change is announced again when a majority has not acknowledged it.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What a member said last in answer to a probe of this node: it knew of nothing newer and nothing in flight.
+/// A member's last answer to a probe of this node, when it knew of no newer version and no change in flight.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Vouch {
     sent_at: Duration,
     version: CatalogueVersion,
 }
 
-/// What a process said last of a change of its own.
+/// A change that a process announced and has not withdrawn.
 #[derive(Clone, Copy, Debug, Default)]
-struct Flight {
-    /// Version that it had.
+struct AnnouncedChange {
+    /// Newest version that the process had when it announced the change.
     version: CatalogueVersion,
-    /// When it said so, by its clock; what it said before does not count any more.
-    said_at: Duration,
+    /// Time of the newest announcement by the process's clock; older probes can't withdraw it.
+    announced_at: Duration,
 }
 
-/// This node's own wish to commit.
+/// This node's announcement that it wants to commit.
 #[derive(Debug, Default)]
 struct Proposal {
-    /// Version that this node had when it told the members, by the time of telling.
+    /// Version that this node had at each announcement, by the time of the announcement.
     sent: BTreeMap<Duration, CatalogueVersion>,
-    told_at: Duration,
-    /// When the members that answered had been told, and the version then.
+    announced_at: Duration,
+    /// Time and version of the newest announcement that each member acknowledged.
     acknowledged: BTreeMap<NodeId, (Duration, CatalogueVersion)>,
 }
 
-/// What is known of changes that may be in flight.
+/// Answers of the members and announcements of changes that may be in flight.
 #[derive(Debug, Default)]
 pub(super) struct Quorum {
-    words: BTreeMap<NodeId, Word>,
-    /// Processes that may be committing a change.
-    committing: BTreeMap<(NodeId, Incarnation), Flight>,
+    vouches: BTreeMap<NodeId, Vouch>,
+    /// Announced changes by the process that may be committing them.
+    committing: BTreeMap<(NodeId, Incarnation), AnnouncedChange>,
     newest_heard: CatalogueVersion,
     proposal: Option<Proposal>,
     members: BTreeSet<(NodeId, Incarnation)>,
@@ -91,39 +93,44 @@
 }
 
 impl CatalogueSync {
-    /// Takes in what a member says of changes of its own.
-    pub(super) fn peer_told(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
-        // Only the process that said it knows what became of its commit.
+    /// Records whether a member announces a change or withdraws its announcement.
+    pub(super) fn peer_announced(
+        &mut self,
+        context: &mut Context<'_>,
+        from: &NodeId,
+        probe: &Probe,
+    ) {
+        // Only the process that announced a commit knows its outcome.
         let process = (from.clone(), probe.incarnation);
         if probe.change_in_flight {
-            let flight = self.quorum.committing.entry(process).or_default();
-            flight.version = probe.catalogue_version.max(flight.version);
-            flight.said_at = probe.sent_at.max(flight.said_at);
-        } else if let Some(flight) = self.quorum.committing.get(&process)
-            && flight.said_at < probe.sent_at
+            let announced = self.quorum.committing.entry(process).or_default();
+            announced.version = probe.catalogue_version.max(announced.version);
+            announced.announced_at = probe.sent_at.max(announced.announced_at);
+        } else if let Some(announced) = self.quorum.committing.get(&process)
+            && announced.announced_at < probe.sent_at
         {
             self.quorum.committing.remove(&process);
         }
-        self.note_flight(context);
+        self.update_change_in_flight(context);
     }
 
-    /// Takes in a member's answer to a probe of this node.
+    /// Records whether a member's answer to a probe of this node vouches for its version.
     pub(super) fn peer_vouched(&mut self, context: &mut Context<'_>, from: &NodeId, probe: &Probe) {
         let member = context.view.members.get(from);
         let is_listed = member.is_some_and(|member| member.incarnation == probe.incarnation);
         if probe.change_in_flight || !is_listed {
-            self.quorum.words.remove(from);
+            self.quorum.vouches.remove(from);
             return;
         }
-        let word = Word {
+        let vouch = Vouch {
             sent_at: probe.sent_at,
             version: probe.catalogue_version,
         };
-        self.quorum.words.insert(from.clone(), word);
-        self.trust_majority(context);
+        self.quorum.vouches.insert(from.clone(), vouch);
+        self.confirm_by_majority(context);
     }
 
-    /// Takes in that a member was told of this node's wish to commit.
+    /// Records that a member acknowledged this node's announcement.
     pub(super) fn proposal_answered(
         &mut self,
         context: &mut Context<'_>,
@@ -136,17 +143,17 @@
         if let Some(version) = proposal.sent.get(&probe.sent_at) {
             let told = proposal.acknowledged.entry(from.clone()).or_default();
             *told = (*told).max((probe.sent_at, *version));
-            self.work_on_changes(context);
+            self.advance_pending_changes(context);
         }
     }
 
-    /// Notes a version that some node has.
-    pub(super) fn version_heard(&mut self, context: &mut Context<'_>, version: CatalogueVersion) {
+    /// Records a version that some node has.
+    pub(super) fn note_version(&mut self, context: &mut Context<'_>, version: CatalogueVersion) {
         self.quorum.newest_heard = self.quorum.newest_heard.max(version);
-        self.note_flight(context);
+        self.update_change_in_flight(context);
     }
 
-    /// Notes since when the list of members has stood still.
+    /// Tracks how long the list of members has been unchanged.
     pub(super) fn note_members(&mut self, context: &Context<'_>) {
         let members = context.view.members.iter();
         let processes = || {
@@ -169,7 +176,7 @@
         }
     }
 
-    /// Whether a majority knows that this node is about to commit; tells the members when it does not.
+    /// Whether a majority has acknowledged this node's announcement; repeats the announcement if it is due.
     pub(super) fn may_commit(&mut self, context: &mut Context<'_>) -> bool {
         if !context.view.members_read {
             return false;
@@ -178,33 +185,36 @@
         let proposal = self.quorum.proposal.get_or_insert_default();
         let members = &context.view.members;
         let acknowledged = &proposal.acknowledged;
-        // A member that has this version by now forgot what it was told at an older one.
+        // Members drop announcements that were made at a version older than their own.
         let in_force = context.view.catalogue.version;
-        let count = acknowledged.iter().filter(|(node, (told_at, version))| {
-            let is_told = *version >= in_force && context.now <= *told_at + TOLD_WITHIN;
-            members.contains_key(*node) && is_told
-        });
+        let count = acknowledged
+            .iter()
+            .filter(|(node, (announced_at, version))| {
+                let is_current =
+                    *version >= in_force && context.now <= *announced_at + ACKNOWLEDGEMENT_VALIDITY;
+                members.contains_key(*node) && is_current
+            });
         if count.count() >= needed {
             return true;
         }
-        let told_version = proposal.sent.get(&proposal.told_at).copied();
-        let is_due = told_version.is_none_or(|version| version < in_force)
-            || context.now >= proposal.told_at + TELL_INTERVAL;
+        let announced_version = proposal.sent.get(&proposal.announced_at).copied();
+        let is_due = announced_version.is_none_or(|version| version < in_force)
+            || context.now >= proposal.announced_at + ANNOUNCE_INTERVAL;
         if is_due {
-            proposal.told_at = context.now;
+            proposal.announced_at = context.now;
             proposal.sent.insert(context.now, in_force);
-            self.note_flight(context);
-            self.tell_members(context);
+            self.update_change_in_flight(context);
+            self.probe_members(context);
         }
         false
     }
 
-    /// Notes that an operator was answered before the fate of a commit was known.
+    /// Records that an operator was answered before the outcome of a commit was known.
     pub(super) fn left_unsettled(&mut self, version: CatalogueVersion) {
         self.quorum.unsettled = self.quorum.unsettled.max(Some(version));
     }
 
-    /// Takes the wish to commit back once nothing of this node can take effect any more.
+    /// Withdraws the announcement once no commit of this node can still take effect.
     pub(super) fn end_proposal_when_done(&mut self, context: &mut Context<'_>) {
         let in_force = context.view.catalogue.version;
         if self
@@ -218,11 +228,11 @@
         if !is_done || self.quorum.proposal.take().is_none() {
             return;
         }
-        self.note_flight(context);
-        self.tell_members(context);
+        self.update_change_in_flight(context);
+        self.probe_members(context);
     }
 
-    fn tell_members(&self, context: &mut Context<'_>) {
+    fn probe_members(&self, context: &mut Context<'_>) {
         let members: Vec<NodeId> = context.view.members.keys().cloned().collect();
         for node in members {
             let probe = version_probe(context);
@@ -230,51 +240,51 @@
         }
     }
 
-    pub(super) fn note_flight(&mut self, context: &mut Context<'_>) {
+    pub(super) fn update_change_in_flight(&mut self, context: &mut Context<'_>) {
         let in_force = context.view.catalogue.version;
         let quorum = &mut self.quorum;
-        // The change would have made the next version, which is taken.
+        // The announced change would have created the next version, which another change has taken.
         quorum
             .committing
-            .retain(|_, flight| flight.version >= in_force);
+            .retain(|_, announced| announced.version >= in_force);
         context.view.own_change_in_flight = quorum.proposal.is_some();
         let started_at = *quorum.started_at.get_or_insert(context.now);
-        let is_new = context.now < started_at + SILENT_FOR;
+        let is_new = context.now < started_at + NO_VOUCH_AFTER_START;
         context.view.known_change_in_flight = is_new
             || !quorum.committing.is_empty()
             || quorum.newest_heard > context.view.catalogue.version;
     }
 
-    fn trust_majority(&mut self, context: &mut Context<'_>) {
-        self.note_flight(context);
+    fn confirm_by_majority(&mut self, context: &mut Context<'_>) {
+        self.update_change_in_flight(context);
         let view = &context.view;
         if view.own_change_in_flight || view.known_change_in_flight {
             return;
         }
         let since = self.quorum.members_since;
-        if since.is_none_or(|since| context.now < since + STEADY_FOR) {
+        if since.is_none_or(|since| context.now < since + MEMBERS_STABLE_FOR) {
             return;
         }
         let in_force = view.catalogue.version;
-        let words = self.quorum.words.iter();
-        let mut times: Vec<Duration> = words
-            .filter(|(node, word)| view.members.contains_key(*node) && word.version <= in_force)
-            .map(|(_, word)| word.sent_at)
+        let vouches = self.quorum.vouches.iter();
+        let mut times: Vec<Duration> = vouches
+            .filter(|(node, vouch)| view.members.contains_key(*node) && vouch.version <= in_force)
+            .map(|(_, vouch)| vouch.sent_at)
             .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
-        // This node's own word is as fresh as can be.
+        // This node vouches for its own version as of now.
         let needed = majority(context) - 1;
         let vouched_at = match needed.checked_sub(1) {
             None => Some(context.now),
             Some(last) => times.get(last).copied(),
         };
         if let Some(at) = vouched_at {
-            self.known_newest(context, in_force, at);
+            self.confirm_newest(context, in_force, at);
         }
     }
 }
 
-/// Smallest number of nodes that is a majority of all, this node and those that are only silent included.
+/// Returns the smallest majority of all nodes: this node, the members, and the silent ones.
 fn majority(context: &Context<'_>) -> usize {
     let view = &context.view;
     let nodes = view.members.len() + view.silent.len() + 1;
--- a/crates/dragonflystep_core/src/catalogue_sync/rows.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the catalogue in the table service.
+//! Keys and contents of the catalogue's rows in the table service.
 
 use {
     crate::{
@@ -11,17 +11,17 @@
     std::sync::Arc,
 };
 
-/// Key of the head row.
+/// Key of the head row, which holds the newest version.
 pub const HEAD_KEY: &str = "catalogue/head";
 
-/// The head row: the newest version.
+/// Content of the head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// The newest version.
+    /// Version that the last committed change created.
     pub version: CatalogueVersion,
 }
 
-/// Key of the row of a change.
+/// Returns the key of the row that holds the change to `version`.
 ///
 /// # Examples
 /// ```
@@ -32,7 +32,7 @@
     format!("catalogue/change/{version:020}").into()
 }
 
-/// The newest version, if the row is the head row.
+/// Returns the newest version if the row is a readable head row.
 pub fn read_head(row: &Row) -> Option<CatalogueVersion> {
     if *row.key != *HEAD_KEY {
         return None;
@@ -41,13 +41,13 @@
     Some(head.version)
 }
 
-/// The change, if the row is that of a change.
+/// Returns the change if the row is a readable change row.
 pub fn read_change(row: &Row) -> Option<CatalogueChange> {
     let change: CatalogueChange = serde_json::from_str(&row.value).ok()?;
     (row.key == change_key(change.version)).then_some(change)
 }
 
-/// The writes that commit a change.
+/// Returns the writes that commit a change: the head row and the change's row.
 pub fn commit_writes(change: &CatalogueChange) -> Vec<Write> {
     let head = HeadRow {
         version: change.version,
--- a/crates/dragonflystep_core/src/catalogue_sync/snapshots/format.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/snapshots/format.rs
@@ -1,4 +1,4 @@
-//! The form of a snapshot object: one line of JSON that says what follows, then the catalogue as JSON.
+//! Format of a snapshot object: a header as one line of JSON, then the catalogue as JSON.
 
 use {
     crate::{catalogue::Catalogue, ids::CatalogueVersion},
@@ -8,11 +8,11 @@
     xxhash_rust::xxh3::xxh3_128,
 };
 
-/// Form of the objects that this program writes, and the newest that it reads.
+/// Format version that this program writes, and the newest that it can read.
 pub const SNAPSHOT_FORMAT: u32 = 1;
-/// Start of every name.
+/// Prefix of the name of every snapshot object.
 const NAME_PREFIX: &str = "catalogue-snapshot";
-/// Longest first line; a longer one is no snapshot.
+/// Longest header line, in bytes; an object with a longer one is not a snapshot.
 const LONGEST_HEADER: usize = 1024;
 
 /// The first line of an object.
@@ -30,44 +30,44 @@
     format: u32,
 }
 
-/// A snapshot under its name.
+/// An encoded snapshot and the name of its object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotObject {
-    /// Name, made of version, hash of the content and number of the attempt.
+    /// Name of the object: version, hash of the content and number of the attempt.
     pub name: Arc<str>,
-    /// Content.
+    /// Header line and catalogue.
     pub content: Arc<[u8]>,
 }
 
-/// Why an object is no usable snapshot.
+/// Reason why an object is not a usable snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// The first line is missing or is no header.
+    /// The first line is missing, too long or not a header.
     #[error("the object has no readable header")]
     NoHeader,
-    /// A newer program wrote it.
+    /// A newer program wrote the object.
     #[error("the object has format {format}, the newest known is {SNAPSHOT_FORMAT}")]
     NewerFormat {
-        /// Its format.
+        /// Format version in the header.
         format: u32,
     },
     /// The content is shorter or longer than the header says.
     #[error("the object has {found} bytes of content, its header says {expected}")]
     WrongLength {
-        /// Bytes that the header says.
+        /// Length in the header, in bytes.
         expected: usize,
-        /// Bytes that are there.
+        /// Actual length of the content, in bytes.
         found: usize,
     },
-    /// The content does not have the hash that header and name carry.
-    #[error("the object's content does not have the hash that it is named by")]
+    /// The hash of the content differs from that in the header or the name.
+    #[error("the hash of the object's content differs from the hash in its header or name")]
     WrongHash,
-    /// The content has the right hash and is no catalogue of the named version.
-    #[error("the object's content is not the catalogue that it is named by")]
+    /// The content has the right hash but is not a catalogue of the version in the header.
+    #[error("the object's content is not a catalogue of the version in its header")]
     WrongContent,
 }
 
-/// Writes a catalogue as an object; the number of the attempt makes its name one that no write had before.
+/// Encodes a catalogue as an object; `attempt` makes its name unique to this write.
 ///
 /// # Examples
 /// ```
@@ -95,10 +95,10 @@
     }
 }
 
-/// Reads an object that goes by this name.
+/// Decodes and verifies the object with this name.
 ///
 /// # Errors
-/// When the object is not wholly the one that the name tells, or a newer program wrote it.
+/// Fails if the content does not match the name or the header, or a newer program wrote it.
 pub fn decode_snapshot(name: &str, content: &[u8]) -> Result<Catalogue, SnapshotError> {
     let searched = &content[..content.len().min(LONGEST_HEADER)];
     let end = searched.iter().position(|byte| *byte == b'\n');
--- a/crates/dragonflystep_core/src/catalogue_sync/snapshots/load.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/snapshots/load.rs
@@ -1,4 +1,4 @@
-//! Reading of the newest usable snapshot by a node that is far behind.
+//! Loads the newest usable snapshot on a node that is far behind.
 
 use {
     super::{
@@ -15,10 +15,10 @@
     std::{collections::VecDeque, sync::Arc, time::Duration},
 };
 
-/// Wait before the row is read again; as long a snapshot that is being read holds back the question to peers.
+/// Wait before the row is read again, and the longest time that a load in progress delays requests to peers.
 const LOAD_RETRY: Duration = Duration::from_secs(3);
 
-/// Where a node is in reading a snapshot.
+/// Progress of loading a snapshot.
 #[derive(Debug, Default)]
 pub(super) enum LoadStep {
     /// Nothing is under way.
@@ -31,7 +31,7 @@
 }
 
 impl CatalogueSync {
-    /// Whether a snapshot may bring this node on: it did so, is being read, or was not tried just now.
+    /// Whether to prefer the platform over peers: a snapshot helped, is being read, or may be tried again.
     pub(in crate::catalogue_sync) fn may_load_snapshot(&self, context: &Context<'_>) -> bool {
         let snapshots = &self.snapshots;
         let is_tried = context.now >= snapshots.load_at;
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Whether a snapshot was put in force and the changes after it can be read so far.
+    /// Whether a snapshot was put in force and the changes after it could be read so far.
     pub(in crate::catalogue_sync) fn has_loaded_snapshot(&self) -> bool {
         self.snapshots.has_loaded
     }
 
-    /// Takes in that the way over the platform did not lead on.
-    pub(in crate::catalogue_sync) fn snapshot_was_no_use(&mut self) {
+    /// Records that reading from the platform made no progress.
+    pub(in crate::catalogue_sync) fn snapshot_did_not_help(&mut self) {
         self.snapshots.has_loaded = false;
     }
 
-    /// Begins to read a snapshot, unless that was tried just now; whether one is being read.
+    /// Starts loading a snapshot unless the last attempt is too recent; returns whether a load is in progress.
     pub(in crate::catalogue_sync) fn load_snapshot(&mut self, context: &mut Context<'_>) -> bool {
         let snapshots = &mut self.snapshots;
         if !matches!(snapshots.load, LoadStep::Idle) {
@@ -80,7 +80,7 @@
             self.fetch_when_due(context);
             return;
         };
-        self.see_rows(context, rows);
+        self.process_rows(context, rows);
         let Some(row) = KnownRow::read(rows).content else {
             context.log(
                 LogLevel::Error,
@@ -125,7 +125,7 @@
         let fault = match outcome {
             ObjectOutcome::Found(content) => match decode_snapshot(&first.object, content) {
                 Ok(catalogue) => {
-                    self.snapshots.bad.remove(&first.object);
+                    self.snapshots.invalid_objects.remove(&first.object);
                     self.snapshots.has_loaded = true;
                     self.snapshot_received(context, Arc::new(catalogue));
                     self.fetch_when_due(context);
@@ -135,14 +135,14 @@
             },
             ObjectOutcome::Absent => "there is no such object".into(),
             _ => {
-                // The store is out: the next object would not come either.
+                // The object store is unavailable, so the next object could not be read either.
                 log_unusable(context, &first, "the object store can't be reached".into());
                 self.fetch_when_due(context);
                 return;
             }
         };
         log_unusable(context, &first, fault);
-        self.snapshots.bad.insert(first.object);
+        self.snapshots.invalid_objects.insert(first.object);
         self.load_next(context, named);
     }
 }
--- a/crates/dragonflystep_core/src/catalogue_sync/snapshots/mod.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/snapshots/mod.rs
@@ -1,18 +1,18 @@
-//! Whole catalogues in the object store, so that a start does not need every change since the first.
+//! Snapshots of whole catalogues in the object store, so that a starting node need not read every change.
 //!
-//! A node writes the catalogue that it has in force as an object, reads it back, and only then names it in one
-//! row of the table by compare-and-set; the row names the newest snapshot and the one before it. Change rows that
-//! neither needs are removed in transactions that demand the same row as it was seen, so that what is removed
-//! follows from the row alone.
+//! A node writes the catalogue in force as an object, reads it back, and only then names it in one row of the table by
+//! compare-and-set. The row names the newest snapshot and the one before it. Change rows that neither snapshot needs
+//! are removed in transactions that require the row to be unchanged, so the row alone determines what is removed.
 //!
-//! The name of an object is made of version, hash of the content and a random number for the attempt, so that no
-//! two writes go to one name: what was read back whole stays as it is, also when an earlier write takes effect
-//! late or cut. Two nodes that write at one time leave one object that no row names. The node whose turn it is
-//! goes first; the others look after it, one after the other, so that a node that dies on the way is stood in for.
+//! The name of an object consists of the version, the hash of the content and a random number for the attempt, so no
+//! two writes use the same name. An object that was read back whole therefore stays whole, even if an earlier write
+//! takes effect late or truncated. When two nodes write at the same time, one object remains that no row names. The
+//! nodes take turns in a fixed order for each version that is due, so that another node takes over if one dies.
 //!
-//! A start reads the row, the newest object, and the changes after it. An object that is missing or not what its
-//! name tells is passed over for the one before it, and that for the change rows; the next look of any node
-//! that knows of it writes a new one.
+//! A starting node reads the row, the newest object, and the changes after it. If an object is missing or does not
+//! match its name, the previous snapshot is used, and if that fails, the change rows. A node that found the newest
+//! object missing or invalid writes a new one at its next check; an invalid previous one is dropped from the row with
+//! the next snapshot.
 
 mod format;
 mod load;
@@ -34,21 +34,21 @@
     std::{collections::BTreeSet, sync::Arc, time::Duration},
 };
 
-/// State of this part.
+/// State of reading and writing snapshots on one node.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
     load: LoadStep,
     load_at: Duration,
-    /// Whether the last snapshot that was read helped.
+    /// Whether a snapshot was put in force and the changes after it could be read so far.
     has_loaded: bool,
-    /// Named objects that were found missing or wrong.
-    bad: BTreeSet<Arc<str>>,
+    /// Objects named by the row that were found missing or invalid.
+    invalid_objects: BTreeSet<Arc<str>>,
     row: KnownRow,
     write: WriteStep,
     write_at: Duration,
-    /// Newest multiple of the interval that this node came by, and when.
+    /// Newest multiple of the snapshot interval that this node reached, and when.
     mark: Option<(CatalogueVersion, Duration)>,
-    /// Newest mark that a named snapshot covers.
+    /// Version up to which no snapshot is due.
     covered: CatalogueVersion,
 }
 
--- a/crates/dragonflystep_core/src/catalogue_sync/snapshots/row.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/snapshots/row.rs
@@ -1,4 +1,4 @@
-//! The row that names the kept snapshots.
+//! The table row that names the kept snapshots.
 
 use {
     super::format::SNAPSHOT_FORMAT,
@@ -12,51 +12,51 @@
     std::sync::Arc,
 };
 
-/// Key of the row.
+/// Key of the row that names the kept snapshots.
 pub const SNAPSHOT_KEY: &str = "catalogue/snapshot";
 /// Most change rows that one transaction removes.
 pub const MOST_REMOVED: u64 = 64;
 
-/// The read of the row together with the head, which no named version may exceed.
+/// Returns a read of the row together with the head, whose version no named snapshot may exceed.
 pub(super) fn read_with_head() -> TableOperation {
     TableOperation::Read {
         keys: vec![HEAD_KEY.into(), SNAPSHOT_KEY.into()],
     }
 }
 
-/// A snapshot that is wholly written.
+/// A reference to a snapshot that was written and verified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedSnapshot {
-    /// Version of the catalogue in it.
+    /// Version of the catalogue in the snapshot.
     pub version: CatalogueVersion,
-    /// Name of the object.
+    /// Name of the object in the object store.
     pub object: Arc<str>,
 }
 
-/// Content of the row.
+/// Content of the row that names the kept snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRow {
-    /// Form of the row and of the objects that it names.
+    /// Format version of the row and of the objects that it names.
     pub format: u32,
-    /// The newest snapshot.
+    /// The newest snapshot; `None` before the first one.
     pub newest: Option<NamedSnapshot>,
-    /// The snapshot before it; every change after it is kept.
+    /// The snapshot before the newest; all change rows after it are kept.
     pub previous: Option<NamedSnapshot>,
-    /// Changes up to this version are removed.
+    /// Change rows up to and including this version are removed.
     pub removed_through: CatalogueVersion,
 }
 
-/// What is known of the row.
+/// The row as it was last read or written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct KnownRow {
-    /// Version of the row; none while there is no row.
+    /// Version of the row; `None` while the row does not exist.
     pub(super) row_version: Option<RowVersion>,
-    /// Content; none when a newer program wrote it or nobody can read it, and then it is left alone.
+    /// Content; `None` when it is unreadable or a newer program wrote it, in which case it is never overwritten.
     pub(super) content: Option<SnapshotRow>,
 }
 
 impl KnownRow {
-    /// Takes in a read of the row.
+    /// Extracts the row from the rows of a table answer.
     pub(super) fn read(rows: &[Row]) -> Self {
         let Some(row) = rows.iter().find(|row| *row.key == *SNAPSHOT_KEY) else {
             return Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The transaction that writes the row, with other writes, unless somebody wrote it meanwhile.
+    /// Returns the transaction that writes the row and `others`, on condition that the row is unchanged.
     pub(super) fn commit(&self, next: &SnapshotRow, others: Vec<Write>) -> TableOperation {
         let mut writes = vec![Write {
             key: SNAPSHOT_KEY.into(),
@@ -89,9 +89,9 @@
 }
 
 impl SnapshotRow {
-    /// The row that names one more snapshot; the newest before it is dropped when it is known to be bad.
-    pub(super) fn with_newest(&self, newest: NamedSnapshot, is_newest_bad: bool) -> Self {
-        let previous = match is_newest_bad {
+    /// Returns the row after adding a snapshot; the previous newest one is dropped if it is known to be invalid.
+    pub(super) fn with_newest(&self, newest: NamedSnapshot, is_newest_invalid: bool) -> Self {
+        let previous = match is_newest_invalid {
             true => &self.previous,
             false => &self.newest,
         };
@@ -103,10 +103,10 @@
         }
     }
 
-    /// The row after the next removal of change rows, with the removals; none when there is nothing to remove.
+    /// Returns the row after the next removal of change rows, with the removals; `None` if nothing is to be removed.
     ///
-    /// Every change after the previous snapshot stays, and so do as many as nodes keep in memory: with these a
-    /// lost answer to a change is settled and an edit based on an older version is checked.
+    /// Every change after the previous snapshot is kept, and at least as many as nodes keep in memory. These are needed
+    /// to settle a lost answer to a change and to validate an edit that is based on an older version.
     pub(super) fn with_removal(&self) -> Option<(Self, Vec<Write>)> {
         let newest = self.newest.as_ref()?.version;
         let previous = self.previous.as_ref()?.version;
--- a/crates/dragonflystep_core/src/catalogue_sync/snapshots/write.rs
+++ b/crates/dragonflystep_core/src/catalogue_sync/snapshots/write.rs
@@ -1,4 +1,4 @@
-//! Writing of snapshots, and removal of the change rows that no kept snapshot needs.
+//! Writes snapshots and removes the change rows that no kept snapshot needs.
 
 use {
     super::{
@@ -18,14 +18,14 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Time that each node before this one in the order of turns has.
-const TURN: Duration = Duration::from_secs(20);
+/// Time that each node has to write a snapshot before the next one in the order tries.
+const TURN_LENGTH: Duration = Duration::from_secs(20);
 /// Wait after a step that failed.
 const WRITE_RETRY: Duration = Duration::from_secs(5);
 /// Wait between two removals.
 const REMOVAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where a node is in writing a snapshot.
+/// Progress of writing a snapshot or removing change rows.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) enum WriteStep {
     /// Nothing is under way.
@@ -46,7 +46,7 @@
 }
 
 impl CatalogueSync {
-    /// Goes on with writing and removing when it is time.
+    /// Starts a check for a due snapshot, or the next removal of change rows, once the wait is over.
     pub(in crate::catalogue_sync) fn write_snapshot_when_due(&mut self, context: &mut Context<'_>) {
         if context.now < self.snapshots.write_at {
             return;
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Whether it is this node's turn to look after the newest mark, or it knows of a bad object.
+    /// Whether it is this node's turn to write the snapshot that is due, or it knows of an invalid object.
     fn is_snapshot_due(&mut self, context: &Context<'_>) -> bool {
         let view = &context.view;
         if view.stopping || view.catalogue.version == 0 {
             return false;
         }
         let snapshots = &mut self.snapshots;
-        if !snapshots.bad.is_empty() {
+        if !snapshots.invalid_objects.is_empty() {
             return true;
         }
         let every = view.tuning.snapshot_every.max(1);
@@ -82,7 +82,7 @@
             _ => context.now,
         };
         snapshots.mark = Some((mark, since));
-        context.now >= since + TURN.saturating_mul(turns_before(context, mark))
+        context.now >= since + TURN_LENGTH.saturating_mul(turns_before(context, mark))
     }
 
     /// Handles the read of the row, before a snapshot or after a lost answer.
@@ -100,14 +100,14 @@
         };
         let head = rows.iter().find_map(read_head).unwrap_or(0);
         if head < context.view.catalogue.version {
-            // The table was put back to an older state; it must not name a version that it does not have.
+            // The table was restored to an older state, and the row must not name a version that the table lacks.
             self.write_failed(context);
             return;
         }
         self.row_known(context, KnownRow::read(rows));
     }
 
-    /// Decides what the row calls for.
+    /// Decides from the row whether to write a snapshot, remove change rows or do nothing.
     fn row_known(&mut self, context: &mut Context<'_>, row: KnownRow) {
         self.snapshots.row = row;
         self.snapshots.write = WriteStep::Idle;
@@ -119,7 +119,7 @@
                 Vec::new(),
             );
             self.snapshots.covered = mark;
-            self.snapshots.bad.clear();
+            self.snapshots.invalid_objects.clear();
             return;
         };
         let named = [&row.newest, &row.previous];
@@ -127,18 +127,21 @@
             let mut named = named.iter().copied().flatten();
             named.any(|named| *named.object == *object)
         };
-        self.snapshots.bad.retain(|object| is_named(object));
+        self.snapshots
+            .invalid_objects
+            .retain(|object| is_named(object));
         let newest = row.newest.as_ref();
-        let is_bad = newest.is_some_and(|newest| self.snapshots.bad.contains(&newest.object));
+        let is_invalid =
+            newest.is_some_and(|newest| self.snapshots.invalid_objects.contains(&newest.object));
         let covered = newest.map_or(0, |newest| newest.version);
-        if is_bad && covered > context.view.catalogue.version {
-            // This node still catches up, and then writes a newer one.
+        if is_invalid && covered > context.view.catalogue.version {
+            // This node is still catching up, and writes a newer snapshot afterwards.
             self.write_failed(context);
             return;
         }
-        if covered >= mark && !is_bad {
-            // A bad object that is not the newest one is dropped with the next snapshot.
-            self.snapshots.bad.clear();
+        if covered >= mark && !is_invalid {
+            // An invalid object that is not the newest one is dropped from the row with the next snapshot.
+            self.snapshots.invalid_objects.clear();
             self.snapshots.covered = covered;
             if row.with_removal().is_some() {
                 self.snapshots.write = WriteStep::RemovalDue;
@@ -164,7 +167,7 @@
         });
     }
 
-    /// Handles the answer to the write of the object; whether it is whole is seen by reading it.
+    /// Handles the answer to the write of the object, and reads it back to verify it.
     pub(super) fn snapshot_stored(&mut self, context: &mut Context<'_>, outcome: &ObjectOutcome) {
         let step = std::mem::take(&mut self.snapshots.write);
         let WriteStep::Storing(named) = step else {
@@ -184,7 +187,7 @@
         self.snapshots.write = WriteStep::Checking(named);
     }
 
-    /// Handles the read of the written object, and names it when it is whole.
+    /// Handles the read of the written object, and names it in the row if it is valid.
     pub(super) fn snapshot_checked(&mut self, context: &mut Context<'_>, outcome: &ObjectOutcome) {
         let step = std::mem::take(&mut self.snapshots.write);
         let WriteStep::Checking(named) = step else {
@@ -200,11 +203,12 @@
         self.name(context, named, &row);
     }
 
-    /// Names a whole object as the newest on the row that was seen last.
+    /// Names a verified object as the newest snapshot, based on the last known row.
     fn name(&mut self, context: &mut Context<'_>, named: NamedSnapshot, row: &SnapshotRow) {
         let newest = row.newest.as_ref();
-        let is_bad = newest.is_some_and(|newest| self.snapshots.bad.contains(&newest.object));
-        let next = row.with_newest(named.clone(), is_bad);
+        let is_invalid =
+            newest.is_some_and(|newest| self.snapshots.invalid_objects.contains(&newest.object));
+        let next = row.with_newest(named.clone(), is_invalid);
         self.snapshots.write = WriteStep::Naming(named);
         self.commit_row(context, TableCall::SnapshotName, &next, Vec::new());
     }
@@ -241,14 +245,14 @@
                 self.row_known(context, KnownRow::read(rows));
             }
             TableOutcome::Conflicted(rows) => self.name_again(context, named, KnownRow::read(rows)),
-            // The row tells what became of it, when it is read again.
+            // The next read of the row shows whether the write took effect.
             _ => self.write_failed(context),
         }
     }
 
-    /// Names an object whose first naming met another version of the row, mostly that of a removal.
+    /// Names an object again after its first naming conflicted with another write of the row, usually a removal.
     ///
-    /// The object was read back whole and nobody else writes to its name, so that it need not be written anew.
+    /// The object was verified and no other write uses its name, so it need not be written again.
     fn name_again(&mut self, context: &mut Context<'_>, named: NamedSnapshot, row: KnownRow) {
         let Some(content) = row.content.clone() else {
             self.write_failed(context);
@@ -273,7 +277,7 @@
         self.commit_row(context, TableCall::SnapshotRemoval, &next, removals);
     }
 
-    /// Handles the answer to a removal; who lost the race leaves the rest to the winner.
+    /// Handles the answer to a removal; after a conflict the node that committed continues with the rest.
     pub(in crate::catalogue_sync) fn changes_removed(
         &mut self,
         context: &mut Context<'_>,
@@ -294,7 +298,7 @@
                 self.snapshots.write_at = context.now + WRITE_RETRY;
             }
             TableOutcome::Unknown => {
-                // Reading the row again tells how far it came.
+                // Forces another read of the row, which shows whether the removal took effect.
                 self.snapshots.covered = 0;
                 self.snapshots.write_at = context.now + WRITE_RETRY;
             }
@@ -308,7 +312,7 @@
     }
 }
 
-/// Live nodes whose turn comes before this node's.
+/// Returns the number of live nodes that come before this node in the order for a mark.
 fn turns_before(context: &Context<'_>, mark: CatalogueVersion) -> u32 {
     let turn = |node: &NodeId| (xxh3_64_with_seed(node.as_bytes(), mark), node.clone());
     let own = turn(&context.view.node.id);
